--- a/crates/engine/src/attempt.rs
+++ b/crates/engine/src/attempt.rs
@@ -1,32 +1,33 @@
-//! One attempt of a job: its identity, its deadlines and its state. Its transitions stand in [`crate::job`].
+//! One attempt of a job: its id, deadlines and state. [`crate::job`] has the table of transitions.
 
 use brackenledge_policy::{JobId, Millis};
 
 /// Identifies an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptId {
-    /// Its job.
+    /// The job that the attempt belongs to.
     pub job: JobId,
-    /// Its number within the job, from 0.
+    /// Index of the attempt within the job, from 0.
     pub attempt: usize,
 }
 
-/// The times that bind an attempt.
+/// Deadlines of an attempt, on the driver's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AttemptDeadlines {
-    /// The request's last byte is written before this, or never: workers drop a retry of an idempotent job only within the
-    /// class's window, and a connection may be established long after it was requested.
+    /// The request must be written completely before this time, or not at all. Workers deduplicate retries of
+    /// an idempotent job only within the class's window, and a connection may be established long after it
+    /// was requested.
     pub write_deadline: Millis,
     /// When to stop waiting for the response.
     pub response_deadline: Millis,
 }
 
-/// Where an attempt stands.
+/// State of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum AttemptState {
     /// In flight; the request has not been written completely.
     Connecting,
-    /// In flight; the worker may run it.
+    /// In flight; the request has been written completely, so that the worker may run the job.
     Sent,
     /// No longer in flight. Final.
     Ended { may_have_run: bool },
@@ -34,7 +35,7 @@
 
 /// One attempt of a job.
 pub(crate) struct Attempt {
-    /// When it was started. It may be before the job's submission, for an earlier scheduler's attempt.
+    /// Start time. It precedes the job's submission if another scheduler started the attempt.
     pub(crate) started_at: Millis,
     state: AttemptState,
 }
@@ -45,28 +46,28 @@
         Attempt { started_at: now, state: AttemptState::Connecting }
     }
 
-    /// An attempt that another scheduler started; it may have run.
-    pub(crate) fn of_earlier_scheduler(started_at: Millis) -> Self {
+    /// An attempt that another scheduler started. It may have run, and has ended as far as this scheduler
+    /// knows.
+    pub(crate) fn from_prior_execution(started_at: Millis) -> Self {
         Attempt { started_at, state: AttemptState::Ended { may_have_run: true } }
     }
 
-    /// Access to its transitions; `None` once it has ended, since an ended attempt has none.
+    /// Gives access to the transitions; `None` if the attempt has ended.
     pub(crate) fn in_flight(&mut self) -> Option<InFlight<'_>> {
         self.is_in_flight().then_some(InFlight(&mut self.state))
     }
 
-    /// Whether it has not ended.
     pub(crate) fn is_in_flight(&self) -> bool {
         !matches!(self.state, AttemptState::Ended { .. })
     }
 
-    /// Whether its worker may have run the job, or may still.
+    /// Whether the worker may have run the job, or may still run it.
     pub(crate) fn may_have_run(&self) -> bool {
         matches!(self.state, AttemptState::Sent | AttemptState::Ended { may_have_run: true })
     }
 }
 
-/// An attempt that has not ended: the only kind that has transitions.
+/// An attempt that has not ended. Only such an attempt has transitions.
 pub(crate) struct InFlight<'a>(&'a mut AttemptState);
 
 impl InFlight<'_> {
@@ -75,7 +76,7 @@
         *self.0 = AttemptState::Sent;
     }
 
-    /// It ended.
+    /// The attempt has ended. `may_have_run` is false only if the worker is known not to have run the job.
     pub(crate) fn end(self, may_have_run: bool) {
         *self.0 = AttemptState::Ended { may_have_run };
     }
--- a/crates/engine/src/command.rs
+++ b/crates/engine/src/command.rs
@@ -1,6 +1,6 @@
-//! What drivers carry out for the engine, in the order in which it is handed out.
+//! Commands of the engine. Drivers execute them in the order in which they are handed out.
 //!
-//! Some commands are the decision module's own actions, handed on as they are; [`Action`] says what they mean.
+//! Some commands pass on an action of the decision module unchanged; [`Action`] documents those.
 
 use crate::attempt::{AttemptDeadlines, AttemptId};
 use crate::job::{Answer, ClientId, Request};
@@ -9,11 +9,11 @@
 use brackenledge_policy::{JobId, Millis, WorkerId};
 use std::rc::Rc;
 
-/// What is to be done.
+/// A command for a frontend, or for the driver of worker connections, discovery or peer messages.
 pub enum Command {
-    /// Give a client its job's answer.
+    /// Send the answer of a job to its client. Issued at most once for each job.
     Answer {
-        /// The client.
+        /// The client that submitted the job.
         client: ClientId,
         /// The job.
         job: JobId,
@@ -22,22 +22,23 @@
     },
     /// Send a request to a worker.
     StartAttempt {
-        /// Names the attempt from now on.
+        /// Identifies the attempt in later inputs and commands.
         id: AttemptId,
         /// The worker.
         worker: WorkerId,
         /// The request.
         request: Rc<Request>,
-        /// Its deadlines.
+        /// The attempt's deadlines.
         deadlines: AttemptDeadlines,
     },
-    /// Cancel an attempt, sent or not.
+    /// Cancel an attempt, whether or not its request has been written.
     CancelAttempt {
         /// The attempt.
         id: AttemptId,
     },
-    /// No client waits for the job any more: end the attempt if its request has not been written completely. One that has
-    /// been sent goes on, unless the decision module cancels it where the settings allow that.
+    /// The job has been answered or abandoned: end the attempt if its request has not been written
+    /// completely. An attempt that has been sent continues, unless the decision module cancels it where the
+    /// settings allow that.
     WithdrawAttempt {
         /// The attempt.
         id: AttemptId,
@@ -46,12 +47,12 @@
     AttemptEnded {
         /// The attempt.
         id: AttemptId,
-        /// It is known that the job never ran by it.
+        /// Whether the worker is known not to have run the job in this attempt.
         never_ran: bool,
     },
-    /// [`Action::SetTimer`]; [`Engine::handle_timeout`](crate::Engine::handle_timeout) is called when it expires.
+    /// [`Action::SetTimer`]; call [`Engine::handle_timeout`](crate::Engine::handle_timeout) when it expires.
     SetTimer {
-        /// Time until it expires.
+        /// Time until the timer expires.
         after: Millis,
     },
     /// [`Action::WatchEndpoints`].
@@ -61,7 +62,8 @@
     },
     /// [`Action::PollEndpoints`].
     PollEndpoints,
-    /// [`Action::HealthCheck`]; its end is told to [`Engine::health_check_ended`](crate::Engine::health_check_ended).
+    /// [`Action::HealthCheck`]; report its result with
+    /// [`Engine::health_check_ended`](crate::Engine::health_check_ended).
     HealthCheck {
         /// The worker.
         worker: WorkerId,
@@ -70,12 +72,12 @@
     SendMessage {
         /// The receiver's ordinal.
         to: u16,
-        /// The text.
+        /// The text, at most 256 bytes.
         text: String,
     },
     /// [`Action::SendMessage`] to all other schedulers.
     Broadcast {
-        /// The text.
+        /// The text, at most 256 bytes.
         text: String,
     },
     /// [`Action::CloseIdleConnections`].
--- a/crates/engine/src/drain.rs
+++ b/crates/engine/src/drain.rs
@@ -1,22 +1,25 @@
-//! Lame duck: drains a scheduler on its operators' request, and puts it back into rotation.
+//! Draining: LAMEDUCK takes a scheduler out of rotation, REJOIN puts it back.
 //!
-//! **Invariant.** While it drains the scheduler is not ready, so that the front proxy sends new clients elsewhere. Idle
-//! connections are closed at once and kept ones with their next response; jobs that were admitted finish. Jobs that arrive
-//! on open connections are admitted for a grace period, since the front proxy may have sent them before its health check
-//! failed; later ones are rejected, so that none is in flight when the drain is judged.
+//! **Invariant.** While draining, the scheduler is not ready, so that the front proxy sends new clients
+//! elsewhere. Idle client connections are closed at once and all others with their next response; admitted
+//! jobs run to their end. Jobs that arrive on open connections are admitted for a grace period, since the
+//! front proxy may have sent them before its health check failed. Later ones are rejected, so that none of
+//! them is in flight when the platform checks that the drain is complete.
 //!
-//! | input | serving | lame duck |
+//! | input | while serving | while draining |
 //! | --- | --- | --- |
-//! | `LAMEDUCK` | begins to drain | no change: the times of the first call hold |
+//! | `LAMEDUCK` | starts to drain | no change: the drain's times count from the first call |
 //! | `REJOIN` | no change | serves again |
 //!
-//! No I/O, no clock. SIGTERM, which ends the process, is [`crate::shutdown`]'s.
+//! The module does no I/O and reads no clock. SIGTERM, which ends the process, is handled in
+//! [`crate::shutdown`].
 
 use brackenledge_policy::Millis;
 
-/// How long after LAMEDUCK jobs are still admitted. The front proxy checks health every 0.1 s and sends new connections for
-/// 0.2 s after the first failure, so that what comes later than this came on a connection open for long, and is rejected
-/// with `Retry-After`. 4 s after the call no job younger than 2 s may be in flight.
+/// How long jobs are still admitted after LAMEDUCK. The front proxy checks health every 0.1 s and sends new
+/// connections for 0.2 s after the first failed check. A job that arrives after the grace period came on a
+/// connection that has been open for long, and is rejected with `Retry-After`: 4 s after the call, no job
+/// younger than 2 s may be in flight.
 pub const ADMISSION_GRACE: Millis = 1_500.0;
 
 /// Whether the scheduler is in rotation.
@@ -24,28 +27,28 @@
 pub enum State {
     /// In rotation.
     Serving,
-    /// Out of rotation since the call at this time.
+    /// Draining, out of rotation.
     LameDuck {
-        /// When LAMEDUCK came.
+        /// When the first LAMEDUCK was received.
         since: Millis,
     },
 }
 
-/// What a call did, for its reply.
+/// What a LAMEDUCK or REJOIN call changed; determines the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// It began to drain.
+    /// The scheduler started to drain.
     Draining,
-    /// It was draining already; nothing changed.
+    /// The scheduler was draining already; nothing changed.
     StillDraining,
-    /// It serves again.
+    /// The scheduler serves again.
     Rejoined,
-    /// It was serving already; nothing changed.
+    /// The scheduler was serving already; nothing changed.
     StillServing,
 }
 
 impl Change {
-    /// The text of the reply after `done`.
+    /// The text that follows `done` in the reply.
     pub fn reply_text(self) -> &'static str {
         match self {
             Change::Draining => "draining",
@@ -56,7 +59,7 @@
     }
 }
 
-/// The state of one scheduler's drain.
+/// The drain state of one scheduler.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Drain {
     state: State,
@@ -70,17 +73,17 @@
 }
 
 impl Drain {
-    /// Serving; after LAMEDUCK, jobs are admitted for `admission_grace` milliseconds.
+    /// Starts out serving. After LAMEDUCK, jobs are admitted for `admission_grace` milliseconds.
     pub fn new(admission_grace: Millis) -> Self {
         Drain { state: State::Serving, admission_grace }
     }
 
-    /// Whether it serves or drains.
+    /// Whether the scheduler serves or drains.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// LAMEDUCK came. A second one changes nothing, so that the drain's times run from the first.
+    /// Handles LAMEDUCK. A repeated call changes nothing, so that the drain's times count from the first.
     pub fn lame_duck(&mut self, now: Millis) -> Change {
         match self.state {
             State::Serving => {
@@ -91,7 +94,7 @@
         }
     }
 
-    /// REJOIN came.
+    /// Handles REJOIN.
     pub fn rejoin(&mut self) -> Change {
         match self.state {
             State::LameDuck { .. } => {
@@ -107,12 +110,12 @@
         self.state == State::Serving
     }
 
-    /// Whether a connection is kept after its response.
+    /// Whether a client connection stays open after its response.
     pub fn keeps_connections(&self) -> bool {
         self.is_ready()
     }
 
-    /// Whether connections between requests are closed now.
+    /// Whether client connections without a request in progress are closed.
     pub fn closes_idle_connections(&self) -> bool {
         !self.is_ready()
     }
--- a/crates/engine/src/drain/tests.rs
+++ b/crates/engine/src/drain/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn every_pair_of_calls_ends_where_the_second_says() {
+fn of_two_calls_the_last_determines_the_state() {
     use Call::*;
     let cases = [
         (LameDuck, LameDuck, Change::Draining, Change::StillDraining, false),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_second_lame_duck_keeps_the_times_of_the_first() {
+fn a_repeated_lame_duck_does_not_restart_the_drain() {
     let mut drain = Drain::default();
     drain.lame_duck(1_000.0);
     drain.lame_duck(2_000.0);
@@ -47,11 +47,12 @@
     let start = 50_000.0;
     assert!(drain.admits_jobs(start));
     drain.lame_duck(start);
-    // The front proxy checks health every 0.1 s and sends new connections for 0.2 s after the first failure.
+    // The front proxy checks health every 0.1 s and sends new connections for 0.2 s after the first failed
+    // check.
     for after in [0.0, 100.0, 300.0, 1_000.0] {
         assert!(drain.admits_jobs(start + after), "{after} ms after the call");
     }
-    // No job younger than 2 s may be in flight 4 s after the call; one admitted by then ends by its deadline.
+    // 4 s after the call no job younger than 2 s may be in flight, so that no job may be admitted after 2 s.
     for after in [ADMISSION_GRACE, 2_000.0, 4_000.0] {
         assert!(!drain.admits_jobs(start + after), "{after} ms after the call");
     }
@@ -60,7 +61,7 @@
 }
 
 #[test]
-fn the_operators_admission_grace_holds() {
+fn the_configured_admission_grace_applies() {
     for (admission_grace, after, admitted) in [(0.0, 0.0, false), (500.0, 400.0, true), (500.0, 500.0, false)]
     {
         let mut drain = Drain::new(admission_grace);
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -1,4 +1,5 @@
-//! The engine itself: its inputs, and the queues of events for the decision module and of commands for the drivers.
+//! The engine: its inputs, the queue of events for the decision module and the queue of commands for the
+//! drivers.
 
 use crate::attempt::{AttemptId, InFlight};
 use crate::command::Command;
@@ -11,12 +12,12 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Holds the decision module and all open jobs. Inputs only queue what they cause; [`Engine::poll_command`] is called
-/// afterwards until it returns `None`.
+/// Owns the decision module and all open jobs. Inputs only queue events and commands; after each input the
+/// caller calls [`Engine::poll_command`] until it returns `None`.
 pub struct Engine {
     dispatcher: Dispatcher,
     max_attempts: usize,
-    /// By class: how long after the first attempt a retry may be written.
+    /// Indexed by class: how long after the first attempt a retry may be written.
     retry_windows: Vec<Millis>,
     jobs: HashMap<JobId, Job>,
     last_job: JobId,
@@ -25,24 +26,25 @@
     stats: JobStats,
     events: VecDeque<Event>,
     commands: VecDeque<Command>,
-    /// The decision module's answer to one event; empty in between, kept for its capacity.
+    /// Actions of the decision module for one event. Empty between events; kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
-/// The client and the class of a job that has just ended.
+/// Client and class of a job that has just ended.
 struct EndedJob {
     client: ClientId,
     class: usize,
 }
 
-/// How long after its first attempt a job of this class may be retried. What else limits retries is the decision
-/// module's; this bounds what passes between its decision and the last byte.
+/// How long after its first attempt a job of this class may be retried. Other limits on
+/// retries are the decision module's; this one bounds the delay from its decision to the last byte of the
+/// request.
 fn retry_window(class: &Class) -> Millis {
     if class.effect == Effect::Idempotent { class.deduplication_window } else { f64::INFINITY }
 }
 
 impl Engine {
-    /// An engine without jobs.
+    /// An engine without jobs. `seed` seeds the random choices of the decision module.
     pub fn new(now: Millis, settings: Settings, seed: u64) -> Self {
         Engine {
             max_attempts: settings.max_attempts,
@@ -59,34 +61,34 @@
         }
     }
 
-    /// Jobs without an answer whose clients wait.
+    /// Number of jobs whose clients wait for an answer.
     pub fn pending_jobs(&self) -> usize {
         self.pending
     }
 
-    /// Jobs that are held: pending, or with an attempt in flight.
+    /// Number of jobs that are pending or have an attempt in flight.
     pub fn open_jobs(&self) -> usize {
         self.jobs.len()
     }
 
-    /// How jobs ended since the start, and the attempts that were sent.
+    /// Counts since the start: how jobs ended, and how many attempts were sent.
     pub fn stats(&self) -> &JobStats {
         &self.stats
     }
 
-    /// Slots of all jobs submitted since the start.
+    /// Total slots of all jobs submitted since the start; each job counts at least 1.
     pub fn submitted_slots(&self) -> f64 {
         self.submitted_slots
     }
 
-    /// A frontend rejected a job of this class before it submitted it: too many were in flight.
+    /// A frontend rejected a job of this class without submitting it, because too many were in flight.
     pub fn rejected_at_admission(&mut self, class: usize) {
         self.stats.record(class, JobEnd::Rejected);
     }
 
-    /// Submits a job; returns the id by which its frontend can abandon it and is told the answer. `None`: a job with the
-    /// same request id is open, maybe another client's. That one must not be touched, and a worker that is sent the id
-    /// again takes it for a second execution.
+    /// Submits a job. Returns its id, which the frontend uses to abandon it and which its answer carries.
+    /// Returns `None` if a job with the same request id is open: that job may belong to another client and
+    /// must not be affected, and a worker would take the same request id for a second execution.
     pub fn submit_job(&mut self, now: Millis, submitted: JobRequest) -> Option<JobId> {
         if self.jobs.values().any(|job| job.request.id == submitted.request.id) {
             return None;
@@ -100,7 +102,7 @@
         Some(id)
     }
 
-    /// Ids are never reused, except that the counter wraps; then those of open jobs are skipped.
+    /// The next id in sequence. Once the counter has wrapped around, ids of open jobs are skipped.
     fn next_job_id(&mut self) -> JobId {
         loop {
             self.last_job = self.last_job.wrapping_add(1);
@@ -110,7 +112,8 @@
         }
     }
 
-    /// A job's client disconnected, or nobody waits for its answer for another reason: it gets none.
+    /// Ends a job without an answer: its client has disconnected, or does not wait for the answer for another
+    /// reason.
     pub fn abandon_job(&mut self, id: JobId) {
         if self.end_job(id).is_some() {
             self.stats.abandoned += 1;
@@ -119,8 +122,9 @@
         }
     }
 
-    /// Answers every pending job, since the process is about to end, and withdraws its unsent attempts. A job whose request
-    /// no worker can have received completely is rejected with this `Retry-After`; any other fails.
+    /// Answers every pending job because the process is about to exit, and withdraws its unsent attempts. A
+    /// job whose request no worker can have received completely is rejected with this `Retry-After`; any
+    /// other fails.
     pub fn fail_pending(&mut self, retry_after: Option<Millis>) {
         let pending = self.jobs.iter().filter(|(_, job)| job.is_pending());
         let mut ids: Vec<JobId> = pending.map(|(&id, _)| id).collect();
@@ -132,7 +136,7 @@
         }
     }
 
-    /// An attempt's request has been written completely.
+    /// The request of an attempt has been written completely.
     pub fn attempt_sent(&mut self, id: AttemptId) {
         self.stats.sent_attempts += 1;
         if let Some(attempt) = self.attempt_in_flight(id) {
@@ -140,24 +144,24 @@
         }
     }
 
-    /// A worker has started to run an attempt.
+    /// The worker has started to run the job of an attempt.
     pub fn attempt_started(&mut self, AttemptId { job, attempt }: AttemptId) {
         self.events.push_back(Event::JobStarted { job, attempt });
     }
 
-    /// A worker has done this share of an attempt, 0 to 1.
+    /// The worker reports progress on an attempt; `done` is the completed fraction, 0 to 1.
     pub fn attempt_progressed(&mut self, AttemptId { job, attempt }: AttemptId, done: f64) {
         self.events.push_back(Event::JobProgress { job, attempt, done });
     }
 
-    /// An attempt was served. The first of a job is its answer.
+    /// An attempt returned a result. The first result of a job is its answer.
     pub fn attempt_served(&mut self, id: AttemptId, result: String, report: Option<LoadReport>) {
         self.end_with_answer(id.job, Answer::Served(result));
         self.attempt_ended(id, Outcome::Served, report);
         self.withdraw_attempts(id.job);
     }
 
-    /// An attempt ended. Each one ends once: later calls for it do nothing.
+    /// An attempt ended. Later calls for the same attempt do nothing.
     pub fn attempt_ended(&mut self, id: AttemptId, outcome: Outcome, report: Option<LoadReport>) {
         let Some(attempt) = self.attempt_in_flight(id) else { return };
         attempt.end(!outcome.never_ran());
@@ -176,7 +180,7 @@
         }));
     }
 
-    /// The endpoint table has changed.
+    /// The endpoint table has changed; `kind` says what `entries` holds.
     pub fn update_workers(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) {
         self.events.push_back(Event::Workers { kind, entries });
     }
@@ -186,27 +190,27 @@
         self.events.push_back(Event::HealthChecked { worker, outcome, report });
     }
 
-    /// A message came from another scheduler.
+    /// A message from the scheduler with ordinal `from` has arrived.
     pub fn handle_message(&mut self, from: u16, text: String) {
         self.events.push_back(Event::PeerMessage { from: u32::from(from), text });
     }
 
-    /// Sets each zone's route cost, in latency objectives; empty: there is no traffic plan.
+    /// Sets the route cost of each zone, in latency objectives; empty if there is no traffic plan.
     pub fn set_zone_costs(&mut self, costs: Vec<f64>) {
         self.events.push_back(Event::ZoneCosts { costs });
     }
 
-    /// Sets the number of active schedulers that share the workers, this one included.
+    /// Sets the number of active schedulers that share the workers, including this one.
     pub fn set_active_schedulers(&mut self, schedulers: u32) {
         self.events.push_back(Event::ActiveSchedulers { schedulers });
     }
 
-    /// A timer of [`Command::SetTimer`] has expired.
+    /// A timer set by [`Command::SetTimer`] has expired.
     pub fn handle_timeout(&mut self) {
         self.events.push_back(Event::Timer);
     }
 
-    /// The next command; events are handled until there is one. `None`: nothing is left to do now.
+    /// Returns the next command, handling queued events until there is one; `None` if no event is left.
     pub fn poll_command(&mut self, now: Millis) -> Option<Command> {
         loop {
             if let Some(command) = self.commands.pop_front() {
@@ -229,7 +233,7 @@
         }
         self.actions = actions;
         if let Some(job) = ended_job {
-            self.forget_finished(job);
+            self.remove_if_finished(job);
         }
     }
 
@@ -249,7 +253,7 @@
             Action::HealthCheck { worker } => Command::HealthCheck { worker },
             Action::SendMessage { to: Some(to), text } => match u16::try_from(to) {
                 Ok(to) => Command::SendMessage { to, text },
-                // No scheduler has such an ordinal.
+                // Ordinals are 16 bits wide, so that there is no such scheduler.
                 Err(_) => return,
             },
             Action::SendMessage { to: None, text } => Command::Broadcast { text },
@@ -259,8 +263,9 @@
         self.commands.push_back(command);
     }
 
-    /// Starts an attempt, or ends it at once as never sent: its job is answered, it would be written too late, or the job
-    /// has had all its attempts. Either way the decision module gets one result for it.
+    /// Starts an attempt. If the job has ended, its write deadline has passed or the attempt limit is
+    /// reached, the attempt ends at once with [`Outcome::NeverSent`]. Either way the decision module gets
+    /// exactly one result for it.
     fn start_attempt(&mut self, now: Millis, job_id: JobId, worker: WorkerId, timeout: Option<Millis>) {
         let Some(job) = self.jobs.get_mut(&job_id) else { return };
         let NewAttempt { number, deadlines } = job.start_attempt(now, timeout, self.retry_windows[job.class]);
@@ -279,8 +284,9 @@
         self.jobs.get_mut(&id.job)?.attempt_in_flight(id.attempt)
     }
 
-    /// Answers a job without a result. The decision module does not know which attempts have been sent: a job whose request
-    /// no worker can have received completely is rejected even where the module says that it failed.
+    /// Answers a job that has no result. The decision module does not know which attempts have been sent, so
+    /// that a job whose request no worker can have received completely is rejected even if the decision
+    /// module fails it.
     fn answer(&mut self, id: JobId, answer: Answer) {
         let never_ran =
             self.jobs.get(&id).is_some_and(|job| !job.request.reports_attempts && job.never_ran());
@@ -291,10 +297,10 @@
         if self.end_with_answer(id, answer) {
             self.withdraw_attempts(id);
         }
-        self.forget_finished(id);
+        self.remove_if_finished(id);
     }
 
-    /// Ends a pending job with this answer; whether it was pending.
+    /// Ends a pending job with this answer. Returns whether the job was pending.
     fn end_with_answer(&mut self, id: JobId, answer: Answer) -> bool {
         let Some(EndedJob { client, class }) = self.end_job(id) else { return false };
         self.stats.record(class, answer.job_end());
@@ -302,7 +308,7 @@
         true
     }
 
-    /// Ends a pending job; `None`: it is not pending.
+    /// Ends a pending job; `None` if it is not pending.
     fn end_job(&mut self, id: JobId) -> Option<EndedJob> {
         let job = self.jobs.get_mut(&id)?;
         let client = job.take_client()?;
@@ -310,15 +316,15 @@
         Some(EndedJob { client, class: job.class })
     }
 
-    /// An attempt of an ended job that has not been sent by now must not be sent later.
+    /// Withdraws the attempts of a job that has ended, so that none that is still unsent is sent later.
     fn withdraw_attempts(&mut self, id: JobId) {
         let Some(job) = self.jobs.get(&id) else { return };
         let withdrawn = job.attempts_in_flight().map(|attempt| AttemptId { job: id, attempt });
         self.commands.extend(withdrawn.map(|id| Command::WithdrawAttempt { id }));
     }
 
-    /// Forgets a job once it is answered and none of its attempts is in flight.
-    fn forget_finished(&mut self, id: JobId) {
+    /// Removes a job that has ended and has no attempt in flight.
+    fn remove_if_finished(&mut self, id: JobId) {
         if self.jobs.get(&id).is_some_and(Job::is_finished) {
             self.jobs.remove(&id);
         }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -1,79 +1,85 @@
-//! A job's life, from its submission until its last attempt has ended. This is the whole state machine: [`crate::attempt`]
-//! has the states of one attempt, and [`Engine`](crate::Engine) the inputs.
+//! The state machine of a job, from its submission until its last attempt has ended. [`crate::attempt`] has
+//! the states of one attempt, and [`Engine`](crate::Engine) the inputs.
 //!
-//! A job is pending until it is answered. Meanwhile, and after that, each of its attempts goes through its own states; a
-//! hedged job has several in flight. A pending job without one is queued: when it gets its next is for the decision module
-//! to say.
+//! A job is pending until it is answered or abandoned. Each of its attempts has a state of its own, and may
+//! still be in flight after the job has ended; a hedged job has several in flight. A pending job without an
+//! attempt in flight is queued, and the decision module determines when its next attempt starts.
+//!
+//! In the table, inputs `Action::*` come from the decision module, an attempt in flight is connecting or
+//! sent, and `WithdrawAttempt` is issued for each attempt that is still in flight.
 //!
 //! | state | input | next state | commands |
 //! | --- | --- | --- | --- |
 //! | (none) | `submit_job` | job pending | |
-//! | job pending | the decision module starts an attempt | attempt connecting | `StartAttempt` |
-//! | job pending | the same, past the write deadline or beyond the most attempts | attempt ended, and never ran | |
+//! | job pending | `Action::StartAttempt` | attempt connecting | `StartAttempt` |
+//! | job pending | the same, past the write deadline or over the attempt limit | attempt ended, never ran | |
 //! | attempt connecting | `attempt_sent` | attempt sent | |
-//! | attempt connecting or sent | `attempt_ended` | attempt ended | |
-//! | attempt connecting or sent | `attempt_served` | attempt ended; job answered | `Answer`, `WithdrawAttempt` of the others |
-//! | job pending | the decision module rejects or fails it; `fail_pending` | job answered | `Answer`, `WithdrawAttempt` |
-//! | job pending | `abandon_job` | job answered | `WithdrawAttempt`; nobody is left to answer |
-//! | job answered | the decision module starts an attempt | attempt ended, and never ran | |
-//! | job answered | its last attempt in flight has ended | forgotten | |
+//! | attempt in flight | `attempt_ended` | attempt ended | |
+//! | attempt in flight | `attempt_served` | attempt ended; job answered | `Answer`, `WithdrawAttempt` |
+//! | job pending | `Action::Reject` or `Action::Fail` | job answered | `Answer`, `WithdrawAttempt` |
+//! | job pending | `fail_pending` | job answered | `Answer`, `WithdrawAttempt` |
+//! | job pending | `abandon_job` | job answered | `WithdrawAttempt`, no `Answer` |
+//! | job answered | `Action::StartAttempt` | attempt ended, never ran | |
+//! | job answered | its last attempt in flight has ended | (removed) | |
 //!
-//! The types rule out any other order: a client is taken out of `Pending` with its answer, so that it gets one, and only an
-//! attempt in flight ([`InFlight`]) has transitions. An input for a job or an attempt that is gone does nothing.
+//! The types rule out any other order: answering a job takes the client out of `Pending`, so that it gets a
+//! single answer, and only an attempt in flight ([`InFlight`]) has transitions. An input for a removed job or
+//! an ended attempt does nothing.
 
 use crate::attempt::{Attempt, AttemptDeadlines, InFlight};
 use crate::stats::JobEnd;
 use brackenledge_policy::{Effect, Millis, NewJob};
 use std::rc::Rc;
 
-/// A client as its frontend knows it.
+/// Identifies a client; assigned by its frontend and opaque to the engine.
 pub type ClientId = usize;
 
-/// What a worker is told of a job; the engine only passes it on.
+/// What is sent to a worker for a job. The engine passes it on unchanged.
 #[derive(Debug)]
 pub struct Request {
-    /// The client's id of it, unique among open jobs.
+    /// The request id that the client assigned; unique among open jobs.
     pub id: String,
-    /// The path and query it was sent to.
+    /// Path and query of the client's request.
     pub target: String,
-    /// By which workers recognise retries.
+    /// The key by which workers recognise retries, if the client set one.
     pub idempotency_key: Option<String>,
-    /// The body's type.
+    /// Content type of the body, if the client stated one.
     pub content_type: Option<String>,
-    /// The body.
+    /// The request body.
     pub body: Vec<u8>,
-    /// What a second execution would do.
+    /// The effect of a second execution.
     pub effect: Effect,
-    /// Each attempt's end is reported, with [`Command::AttemptEnded`](crate::Command::AttemptEnded).
+    /// Whether the end of each attempt is reported with
+    /// [`Command::AttemptEnded`](crate::Command::AttemptEnded).
     pub reports_attempts: bool,
 }
 
 /// A job as a frontend submits it.
 pub struct JobRequest {
-    /// Who submitted it.
+    /// The client that submitted the job.
     pub client: ClientId,
-    /// What the decision module is told; the engine assigns its id.
+    /// The job as the decision module sees it. The engine assigns its id; the value set here is ignored.
     pub job: NewJob,
-    /// What the worker is told.
+    /// The request that is sent to the worker.
     pub request: Request,
 }
 
-/// A job's final answer.
+/// The final answer to a job.
 #[derive(Debug)]
 pub enum Answer {
     /// A worker's result.
     Served(String),
-    /// Rejected: a retry by the client is harmless.
+    /// Rejected. The client may safely retry.
     Rejected {
-        /// How long the client should wait before it.
+        /// How long the client should wait before a retry, if it is to be told.
         retry_after: Option<Millis>,
     },
-    /// Failed: the job may have run or not.
+    /// Failed. The job may or may not have run.
     Failed,
 }
 
 impl Answer {
-    /// The end that the statistics count.
+    /// The kind of end that the statistics count.
     pub(crate) fn job_end(&self) -> JobEnd {
         match self {
             Answer::Served(_) => JobEnd::Served,
@@ -83,18 +89,18 @@
     }
 }
 
-/// Whether a job's client still waits.
+/// Whether the client of a job still waits for an answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum JobState {
-    /// This client waits for the answer.
+    /// This client waits for an answer.
     Pending(ClientId),
-    /// The client has its answer, or is gone.
+    /// The job has been answered, or its client has abandoned it.
     Answered,
 }
 
 /// A job that the engine holds.
 pub(crate) struct Job {
-    /// Its class's number in the settings.
+    /// Index of its class in the settings.
     pub(crate) class: usize,
     pub(crate) request: Rc<Request>,
     deadline: Millis,
@@ -104,15 +110,15 @@
 
 /// An attempt that has just been started.
 pub(crate) struct NewAttempt {
-    /// Its number within the job.
+    /// Index of the attempt within the job.
     pub(crate) number: usize,
     pub(crate) deadlines: AttemptDeadlines,
 }
 
 impl Job {
-    /// A pending job. An attempt that another scheduler made counts as its first.
+    /// A pending job. An attempt that another scheduler made for it counts as its first.
     pub(crate) fn new(now: Millis, client: ClientId, job: &NewJob, request: Request) -> Self {
-        let earlier = job.prior_execution.iter().map(|prior| Attempt::of_earlier_scheduler(now - prior.age));
+        let earlier = job.prior_execution.iter().map(|prior| Attempt::from_prior_execution(now - prior.age));
         Job {
             class: job.class,
             request: Rc::new(request),
@@ -126,7 +132,7 @@
         matches!(self.state, JobState::Pending(_))
     }
 
-    /// Marks it as answered and returns the client that waited; `None`: it was not pending.
+    /// Marks the job as answered and returns the client that waited; `None` if the job was not pending.
     pub(crate) fn take_client(&mut self) -> Option<ClientId> {
         match std::mem::replace(&mut self.state, JobState::Answered) {
             JobState::Pending(client) => Some(client),
@@ -134,13 +140,13 @@
         }
     }
 
-    /// Whether nothing more can happen to it.
+    /// Whether the job has ended and none of its attempts is in flight.
     pub(crate) fn is_finished(&self) -> bool {
         !self.is_pending() && !self.has_attempt_in_flight()
     }
 
-    /// Starts an attempt. Retries are written within `retry_window` of the first attempt that may run the job. A `timeout`
-    /// of 0 is none.
+    /// Starts an attempt. The write deadline of a retry is at most `retry_window` after the start of the
+    /// first attempt that may have run or may still run the job. A `timeout` of 0 means none.
     pub(crate) fn start_attempt(
         &mut self,
         now: Millis,
@@ -157,19 +163,20 @@
         NewAttempt { number, deadlines: AttemptDeadlines { write_deadline, response_deadline } }
     }
 
-    /// An attempt that has not ended.
+    /// Gives access to the transitions of an attempt; `None` if it has ended or does not exist.
     pub(crate) fn attempt_in_flight(&mut self, attempt: usize) -> Option<InFlight<'_>> {
         self.attempts.get_mut(attempt)?.in_flight()
     }
 
-    /// The numbers of all attempts that have not ended.
+    /// Indices of all attempts that have not ended.
     pub(crate) fn attempts_in_flight(&self) -> impl Iterator<Item = usize> + '_ {
         let attempts = self.attempts.iter().enumerate();
         attempts.filter(|(_, attempt)| attempt.is_in_flight()).map(|(number, _)| number)
     }
 
-    /// Whether no worker can have received its complete request. A job that reports its attempts counts as one that may run
-    /// as soon as one is in flight: their receiver may know of an execution that is not known here.
+    /// Whether no worker can have received the complete request. False for
+    /// a job that reports its attempts while one is in flight: the receiver of the reports may know of an
+    /// execution that is not known here.
     pub(crate) fn never_ran(&self) -> bool {
         let may_have_run = self.attempts.iter().any(Attempt::may_have_run);
         !(may_have_run || self.request.reports_attempts && self.has_attempt_in_flight())
@@ -179,7 +186,7 @@
         self.attempts_in_flight().next().is_some()
     }
 
-    /// When the first attempt was started that is in flight or may have run.
+    /// Start time of the first attempt that is in flight or may have run.
     fn first_possible_run(&self) -> Option<Millis> {
         let mut attempts = self.attempts.iter();
         let first = attempts.find(|attempt| attempt.is_in_flight() || attempt.may_have_run());
--- a/crates/engine/src/lib.rs
+++ b/crates/engine/src/lib.rs
@@ -1,22 +1,24 @@
-//! The engine: jobs and their attempts, between any frontend and the decision module (`brackenledge-policy`).
+//! The engine tracks jobs and their attempts, between any frontend and the decision module
+//! (`brackenledge-policy`).
 //!
-//! **Invariant.** Each admitted job ends exactly once: it is answered, or abandoned by its client. No attempt of it is
-//! started after that, and one whose request has not been sent by then is withdrawn.
+//! **Invariant.** Each admitted job ends exactly once: it is answered, or abandoned by its client. After that
+//! no attempt of it is started, and an attempt whose request has not been written yet is withdrawn.
 //!
-//! The engine knows no sockets and no HTTP. A frontend submits jobs and is told their answers; the drivers of backend
-//! connections, discovery and peers report what happened and carry out [`Command`]s. Events are queued and handled one at
-//! a time, each one's commands before the next event, so that the decision module is never re-entered.
+//! The engine does not depend on sockets or HTTP. A frontend submits jobs and receives their answers; the
+//! drivers of worker connections, discovery and peer messages report events and execute [`Command`]s. Events
+//! are queued and handled one at a time, and the commands of each are handed out before the next event is
+//! handled, so that the decision module is never re-entered.
 //!
-//! | module | its job |
+//! | module | contents |
 //! | --- | --- |
-//! | `engine` | the queues of events and commands, and all inputs |
+//! | `engine` | the event and command queues, and all inputs |
 //! | `job` | the state machine of a job and its attempts, with the table of all transitions |
-//! | `attempt` | the states of one attempt, and its deadlines |
-//! | `command` | what drivers carry out |
-//! | [`stats`] | how jobs ended, for operators |
-//! | [`drain`], [`shutdown`] | lame duck, and the end of the process |
+//! | `attempt` | the states and deadlines of one attempt |
+//! | `command` | the commands that drivers execute |
+//! | [`stats`] | counts of how jobs ended, for operators |
+//! | [`drain`], [`shutdown`] | draining on LAMEDUCK, and graceful shutdown of the process |
 //!
-//! No I/O, no clock: `now` is an argument, in milliseconds of the driver's clock.
+//! The crate does no I/O and reads no clock: `now` is an argument, in milliseconds of the driver's clock.
 
 mod attempt;
 mod command;
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -1,28 +1,30 @@
-//! Graceful shutdown on SIGTERM: until when clients are served, and by when the last of them has its response.
+//! Graceful shutdown on SIGTERM: until when clients are served, and by when every response must be written.
 //!
-//! **Invariant.** Every job that was admitted is answered before SIGKILL. The platform sends that no sooner than the
-//! longest deadline of its settings, taken as 3 s where it is longer, and 0.7 s after SIGTERM. All times here follow from
-//! that one, for deadlines are the operators' own: with deadlines of 1 s a program that serves for 2 s meets SIGKILL with
-//! requests in flight.
+//! **Invariant.** Every admitted job is answered before SIGKILL. SIGKILL follows SIGTERM after no less than
+//! the longest configured deadline (3 s if that is longer) plus 0.7 s. All times here are derived from that,
+//! since operators configure the deadlines: with deadlines of 1 s, a process that served clients for a fixed
+//! 2 s would receive SIGKILL with requests in flight.
 //!
-//! No I/O, no clock. The operators' lame duck, after which the process goes on, is [`crate::drain`]'s.
+//! The module does no I/O and reads no clock. Draining on LAMEDUCK, after which the process keeps running, is
+//! in [`crate::drain`].
 
 use brackenledge_policy::Millis;
 
-/// The longest deadline that SIGKILL waits for.
+/// The platform waits for the longest configured deadline, but no longer than this, before SIGKILL.
 const MAX_AWAITED_DEADLINE: Millis = 3_000.0;
-/// How long after that deadline SIGKILL comes.
+/// Time from that deadline to SIGKILL.
 const KILL_GRACE: Millis = 700.0;
-/// The part of that grace that is kept for a slow core, and for writing many responses that are due at one moment.
+/// Part of [`KILL_GRACE`] that is reserved for a slow core, and for writing many responses that are due at
+/// once.
 const WRITE_MARGIN: Millis = 300.0;
-/// New clients come for 0.4 s after SIGTERM; a little later all of them have been accepted.
+/// New clients connect for up to 0.4 s after SIGTERM; by this time all of them have been accepted.
 const NEW_CLIENT_GRACE: Millis = 450.0;
-/// The part of the time until all must be answered in which clients are served as before: other schedulers may be
-/// shutting down too, so that a client with a connection here is better off with it, and the last to come needs time to be
-/// served.
+/// Fraction of the time until [`Shutdown::answer_by`] in which clients are served as before. Other schedulers
+/// may be shutting down too, so that a client connected here is better served here; the rest of the time is
+/// for the jobs that arrive last.
 const SERVING_FRACTION: f64 = 0.6;
 
-/// A shutdown under way.
+/// The times of a shutdown that has started.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Shutdown {
     started_at: Millis,
@@ -30,7 +32,8 @@
 }
 
 impl Shutdown {
-    /// SIGTERM came; `max_deadline` is the longest of the settings.
+    /// Starts a shutdown: SIGTERM was received `now`, and `max_deadline` is the longest deadline of the
+    /// settings.
     pub fn new(now: Millis, max_deadline: Millis) -> Self {
         Shutdown { started_at: now, max_deadline: max_deadline.clamp(0.0, MAX_AWAITED_DEADLINE) }
     }
@@ -40,18 +43,18 @@
         self.started_at + self.max_deadline + KILL_GRACE - WRITE_MARGIN
     }
 
-    /// Until when clients are served as before. After that their connections are closed with their responses.
+    /// Until when clients are served as before. After that, connections are closed with their next response.
     pub fn serve_until(&self) -> Millis {
         let time_to_answer = self.answer_by() - self.started_at;
         self.started_at + (SERVING_FRACTION * time_to_answer).max(NEW_CLIENT_GRACE).min(time_to_answer)
     }
 
-    /// Whether clients are not served any further: no new request is read, and connections close.
+    /// Whether no new request is read and connections are closed.
     pub fn is_closing_connections(&self, now: Millis) -> bool {
         now >= self.serve_until()
     }
 
-    /// The time that a job arriving now may take.
+    /// The longest time that a job arriving now may take; 0 once [`Shutdown::answer_by`] has passed.
     pub fn time_left(&self, now: Millis) -> Millis {
         (self.answer_by() - now).max(0.0)
     }
--- a/crates/engine/src/shutdown/tests.rs
+++ b/crates/engine/src/shutdown/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 #[test]
-fn all_is_answered_before_sigkill_whatever_the_deadlines() {
+fn every_job_is_answered_before_sigkill_whatever_the_deadlines() {
     for max_deadline in [50.0, 200.0, 800.0, 1_500.0, 3_000.0, 5_000.0, 60_000.0] {
         let shutdown = Shutdown::new(10.0, max_deadline);
         let sigkill = 10.0 + max_deadline.min(3_000.0) + 700.0;
         assert!(shutdown.answer_by() < sigkill, "{max_deadline}");
-        // A client that comes while the front proxy still sends new ones is served.
+        // The front proxy sends new clients for up to 0.4 s after SIGTERM; they are served.
         assert!(
             shutdown.serve_until() >= 10.0 + 400.0 && !shutdown.is_closing_connections(410.0),
             "{max_deadline}"
--- a/crates/engine/src/stats.rs
+++ b/crates/engine/src/stats.rs
@@ -1,23 +1,24 @@
-//! Statistics for operators: how the jobs of each class ended, and what is in flight now.
+//! Statistics for operators: how the jobs of each class ended, and how many jobs and endpoints there are now.
 //!
-//! Counted where the engine ends a job, so that every frontend and every way of ending a job is counted once and alike.
-//! Counts start with the process and only grow; no I/O, no clock.
+//! Ends are counted where the engine ends a job, so that each job counts exactly once, whichever frontend
+//! submitted it and however it ended. Counts start at zero with the process and only grow. The module does no
+//! I/O and reads no clock.
 
-/// How one class's jobs ended since the start.
+/// How the jobs of one class ended since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ClassStats {
-    /// [`JobEnd::Served`].
+    /// Jobs that ended as [`JobEnd::Served`].
     pub served: u64,
-    /// [`JobEnd::Rejected`].
+    /// Jobs that ended as [`JobEnd::Rejected`].
     pub rejected: u64,
-    /// [`JobEnd::Failed`].
+    /// Jobs that ended as [`JobEnd::Failed`].
     pub failed: u64,
 }
 
-/// Counts since the start, per class and in all.
+/// Counts since the process started.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobStats {
-    /// By the class's number in the settings.
+    /// Indexed by class, in the order of the settings.
     pub classes: Vec<ClassStats>,
     /// Jobs whose client disconnected before the answer.
     pub abandoned: u64,
@@ -25,7 +26,7 @@
     pub sent_attempts: u64,
 }
 
-/// How an answered job ended: the kinds of an [`Answer`](crate::Answer).
+/// How an answered job ended; one value for each kind of [`Answer`](crate::Answer).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum JobEnd {
     /// [`Answer::Served`](crate::Answer::Served).
@@ -65,12 +66,12 @@
     }
 }
 
-/// The statistics as lines of `name=value`: classes in the order of the settings, then what is in flight now. The names are
-/// the admin endpoint's and do not change.
+/// Formats the statistics as lines of `name=value`: the classes in the order of the settings, then the
+/// gauges. The admin endpoint shows these names to operators' tools, so they must not change.
 pub fn render_lines(stats: &JobStats, class_names: &[String], gauges: &Gauges) -> Vec<String> {
     let mut lines = Vec::new();
-    for (at, name) in class_names.iter().enumerate() {
-        let class = stats.classes.get(at).copied().unwrap_or_default();
+    for (index, name) in class_names.iter().enumerate() {
+        let class = stats.classes.get(index).copied().unwrap_or_default();
         lines.push(format!("svc.fulfilled.{name}={}", class.served));
         lines.push(format!("svc.throttled.{name}={}", class.rejected));
         lines.push(format!("svc.faulted.{name}={}", class.failed));
@@ -82,14 +83,14 @@
     lines
 }
 
-/// What is in flight at this moment.
+/// Current values, as opposed to counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Gauges {
     /// Jobs admitted and not yet answered.
     pub pending_jobs: usize,
     /// Workers in the endpoint table.
     pub endpoints: usize,
-    /// Of those, the ones that get no new attempt now.
+    /// Workers in the endpoint table that currently receive no new attempts.
     pub unready_endpoints: usize,
 }
 
--- a/crates/engine/src/stats/tests.rs
+++ b/crates/engine/src/stats/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn every_class_shows_three_counts_and_the_gauges_follow() {
+fn each_class_has_three_counts_and_the_gauges_follow() {
     let mut stats = JobStats::new(2);
     stats.record(0, JobEnd::Served);
     stats.record(0, JobEnd::Served);
@@ -10,9 +10,9 @@
     stats.sent_attempts = 5;
     let names = ["farm-view".to_string(), "coin-buy".to_string()];
     let gauges = Gauges { pending_jobs: 3, endpoints: 12, unready_endpoints: 1 };
-    let shown = render_lines(&stats, &names, &gauges);
+    let lines = render_lines(&stats, &names, &gauges);
     assert_eq!(
-        shown,
+        lines,
         [
             "svc.fulfilled.farm-view=2",
             "svc.throttled.farm-view=0",
--- a/crates/engine/tests/job_completion.rs
+++ b/crates/engine/tests/job_completion.rs
@@ -1,4 +1,7 @@
-//! Random orders of everything that can end: each job ends exactly once, and no attempt of it is sent after that.
+//! Runs seeded random sequences of submissions, disconnects, timeouts and attempt results through the engine.
+//! Guards against a job that ends twice or never, an attempt that is sent after its job has ended, a second
+//! execution of a job that is not idempotent, and a retry of an idempotent job after its deduplication
+//! window.
 #![allow(missing_docs)]
 
 mod support;
@@ -9,17 +12,17 @@
 use support::{ClockedEngine, job_request};
 
 const EFFECTS: [Effect; 3] = [Effect::Repeatable, Effect::NonIdempotent, Effect::Idempotent];
-/// How long workers drop retries of an idempotent job.
+/// How long workers deduplicate retries of an idempotent job, in milliseconds.
 const RETRY_WINDOW: f64 = 400.0;
 
-/// An attempt in flight, as the driver of its connection sees it.
+/// An attempt in flight, as the driver of worker connections tracks it.
 #[derive(Clone, Copy)]
 struct InFlight {
     deadlines: AttemptDeadlines,
     sent: bool,
 }
 
-/// What has occurred.
+/// Counts of what occurred during a run.
 #[derive(Debug, Default)]
 struct Counts {
     answers: usize,
@@ -38,17 +41,17 @@
     }
 }
 
-/// The engine with everything around it, and what the test expects of it.
+/// Drives the engine, in place of frontends and workers, and tracks the expected state.
 struct Driver {
     clocked: ClockedEngine,
     seed: u64,
     class: BTreeMap<JobId, usize>,
-    /// Jobs without an answer whose clients wait.
+    /// Jobs whose clients wait for an answer.
     pending: BTreeSet<JobId>,
     in_flight: BTreeMap<AttemptId, InFlight>,
-    /// Attempts of each job that may have run or may yet.
+    /// Number of attempts of each job that may have run or may still run.
     possible_runs: BTreeMap<JobId, usize>,
-    /// When the first of those was sent.
+    /// When the first attempt counted in `possible_runs` was sent.
     first_sent_at: BTreeMap<JobId, f64>,
     counts: Counts,
 }
@@ -88,7 +91,7 @@
         self.pending.insert(job);
     }
 
-    /// Ends an attempt with this outcome, or as moot if it has not been sent.
+    /// Ends an attempt with this outcome, or with `NeverSent` if it has not been sent.
     fn end(&mut self, id: AttemptId, outcome: Outcome) {
         let Some(attempt) = self.in_flight.remove(&id) else { return };
         let outcome = if attempt.sent { outcome } else { Outcome::NeverSent };
@@ -105,14 +108,14 @@
         }
     }
 
-    /// The last byte of an attempt is sent, unless its write deadline has passed.
+    /// Writes the last byte of an attempt's request, unless the write deadline has passed.
     fn send(&mut self, id: AttemptId) {
         let seed = self.seed;
         if self.clocked.now >= self.in_flight[&id].deadlines.write_deadline {
             self.counts.expired += 1;
             return self.end(id, Outcome::NeverSent);
         }
-        assert!(self.pending.contains(&id.job), "seed {seed}: {id:?} is sent for a job that is not pending");
+        assert!(self.pending.contains(&id.job), "seed {seed}: {id:?} was sent for a job that is not pending");
         let possible_runs = self.possible_runs.entry(id.job).or_default();
         *possible_runs += 1;
         assert!(
@@ -122,9 +125,9 @@
         let since = *self.first_sent_at.entry(id.job).or_insert(self.clocked.now);
         assert!(
             EFFECTS[self.class[&id.job]] != Effect::Idempotent || self.clocked.now < since + RETRY_WINDOW,
-            "seed {seed}: {id:?} is sent after its retry window"
+            "seed {seed}: {id:?} was sent after its retry window"
         );
-        self.in_flight.get_mut(&id).expect("it is in flight").sent = true;
+        self.in_flight.get_mut(&id).expect("the attempt is in flight").sent = true;
         self.clocked.engine.attempt_sent(id);
     }
 
@@ -134,7 +137,7 @@
         self.clocked.engine.abandon_job(job);
     }
 
-    /// Ends the attempts whose response is overdue.
+    /// Ends the attempts whose response deadline has passed.
     fn time_out_attempts(&mut self) {
         let attempts = self.in_flight.iter();
         let overdue = attempts.filter(|(_, attempt)| self.clocked.now >= attempt.deadlines.response_deadline);
@@ -142,12 +145,12 @@
         ids.into_iter().for_each(|id| self.end(id, Outcome::Timeout));
     }
 
-    /// The process ends: every pending job is answered at once, and attempts in flight end in any order.
+    /// Shuts the engine down: all pending jobs are answered at once, then the attempts in flight end in turn.
     fn shut_down(&mut self) {
         let seed = self.seed;
         self.clocked.engine.fail_pending(None);
         self.execute_commands();
-        assert!(self.pending.is_empty(), "seed {seed}: {:?} are pending still", self.pending);
+        assert!(self.pending.is_empty(), "seed {seed}: {:?} are still pending", self.pending);
         while let Some(&id) = self.in_flight.keys().next() {
             self.end(id, Outcome::Served);
             self.execute_commands();
@@ -158,7 +161,7 @@
             "seed {seed}"
         );
         let ended = self.counts.answers + self.counts.abandoned;
-        assert_eq!(ended, self.class.len(), "seed {seed}: each job ends once");
+        assert_eq!(ended, self.class.len(), "seed {seed}: each job must end once");
     }
 
     fn execute_commands(&mut self) {
@@ -168,18 +171,18 @@
             match command {
                 Command::Answer { job, answer, .. } => {
                     self.counts.answers += 1;
-                    let untouched =
+                    let never_ran =
                         self.possible_runs.get(&job).is_none_or(|&possible_runs| possible_runs == 0);
                     assert!(
-                        !untouched || !matches!(answer, Answer::Failed),
-                        "seed {seed}: {job} never ran, and is not rejected but failed"
+                        !never_ran || !matches!(answer, Answer::Failed),
+                        "seed {seed}: {job} never ran, but failed instead of being rejected"
                     );
-                    assert!(self.pending.remove(&job), "seed {seed}: {job} ended before");
+                    assert!(self.pending.remove(&job), "seed {seed}: {job} had ended already");
                 }
                 Command::StartAttempt { id, deadlines, .. } => {
                     assert!(
                         self.pending.contains(&id.job),
-                        "seed {seed}: {id:?} starts though its job is not pending"
+                        "seed {seed}: {id:?} was started for a job that is not pending"
                     );
                     assert!(self.in_flight.insert(id, InFlight { deadlines, sent: false }).is_none());
                 }
@@ -197,13 +200,13 @@
     }
 }
 
-/// A random event: a job, the end of a job, or progress of an attempt.
+/// One random event: a submission, a client's disconnect, or a transition of an attempt.
 fn step(driver: &mut Driver, rng: &mut fastrand::Rng, client: usize) {
     let in_flight: Vec<AttemptId> = driver.in_flight.keys().copied().collect();
     match rng.u32(0..12) {
         0..=3 => driver.submit(client, rng.usize(0..3), 50.0 + rng.f64() * 2_000.0),
         4 if !driver.pending.is_empty() => {
-            let job = *driver.pending.iter().nth(rng.usize(0..driver.pending.len())).expect("one of them");
+            let job = *driver.pending.iter().nth(rng.usize(0..driver.pending.len())).expect("in range");
             driver.abandon(job);
         }
         5..=7 if !in_flight.is_empty() => {
@@ -244,7 +247,7 @@
     for seed in 1..=60 {
         total.add(run(seed));
     }
-    // All of it has occurred.
+    // The runs covered each kind of end.
     assert!(total.answers > 1_000 && total.abandoned > 1_000, "{total:?}");
     assert!(total.withdrawn > 100 && total.expired > 50, "{total:?}");
 }
--- a/crates/engine/tests/job_stats.rs
+++ b/crates/engine/tests/job_stats.rs
@@ -1,5 +1,6 @@
-//! The statistics against an independent count: seeded sequences of jobs, faults and clients that disconnect, run through
-//! the engine on a virtual clock. Every answer that the engine commands is counted; the statistics must say the same.
+//! Compares the engine's statistics with an independent count. Seeded random sequences of jobs, faults and
+//! client disconnects run through the engine on a virtual clock; the test counts each `Answer` command, and
+//! the statistics must agree after each step.
 #![allow(missing_docs)]
 
 mod support;
@@ -17,19 +18,19 @@
     Settings { classes: vec![class; CLASSES], max_attempts: 3, ..Settings::default() }
 }
 
-/// What was seen, counted by the test.
+/// The test's own count.
 #[derive(Default)]
 struct ExpectedStats {
     class: BTreeMap<JobId, usize>,
     answered: BTreeMap<JobId, &'static str>,
     abandoned: Vec<JobId>,
-    /// By class: served, rejected, failed.
+    /// Indexed by class: served, rejected, failed.
     ends: [[u64; 3]; CLASSES],
     sent: u64,
     rejected_at_admission: [u64; CLASSES],
 }
 
-/// The engine with everything around it.
+/// Drives the engine, in place of frontends and workers.
 struct Driver {
     seed: u64,
     rng: fastrand::Rng,
@@ -77,14 +78,14 @@
         self.expected.class.insert(job, class);
     }
 
-    /// A frontend rejects a job before the engine sees it.
+    /// A frontend rejects a job without submitting it.
     fn reject_at_admission(&mut self) {
         let class = self.rng.usize(0..CLASSES);
         self.clocked.engine.rejected_at_admission(class);
         self.expected.rejected_at_admission[class] += 1;
     }
 
-    /// A client disconnects, its job maybe still open.
+    /// A client that has no answer yet disconnects.
     fn abandon_some_job(&mut self) {
         let jobs = self.expected.class.keys();
         let open: Vec<JobId> =
@@ -120,8 +121,8 @@
             Command::Answer { job, answer, .. } => self.count_answer(job, &answer),
             Command::StartAttempt { id, .. } => self.in_flight.push(id),
             Command::CancelAttempt { id } => {
-                if let Some(at) = self.in_flight.iter().position(|&attempt| attempt == id) {
-                    self.in_flight.swap_remove(at);
+                if let Some(index) = self.in_flight.iter().position(|&attempt| attempt == id) {
+                    self.in_flight.swap_remove(index);
                     self.clocked.engine.attempt_ended(id, Outcome::Cancelled, None);
                 }
             }
@@ -136,8 +137,8 @@
             Answer::Rejected { .. } => 1,
             Answer::Failed => 2,
         };
-        let before = expected.answered.insert(job, ["served", "rejected", "failed"][kind]);
-        assert!(before.is_none(), "seed {seed}: job {job} answered twice");
+        let previous = expected.answered.insert(job, ["served", "rejected", "failed"][kind]);
+        assert!(previous.is_none(), "seed {seed}: job {job} answered twice");
         assert!(
             !expected.abandoned.contains(&job),
             "seed {seed}: job {job} answered after its client disconnected"
@@ -145,7 +146,7 @@
         expected.ends[expected.class[&job]][kind] += 1;
     }
 
-    /// The statistics agree with the count.
+    /// Checks that the statistics agree with the test's count.
     fn check(&self) {
         let Driver { seed, expected, .. } = self;
         let stats = self.clocked.engine.stats();
@@ -165,7 +166,7 @@
         assert_eq!(self.clocked.engine.pending_jobs(), open, "seed {seed}: pending jobs");
     }
 
-    /// Each way of ending has occurred.
+    /// Checks that the run covered each kind of answer.
     fn check_coverage(&self) {
         let seed = self.seed;
         let total: [u64; 3] =
--- a/crates/engine/tests/support/mod.rs
+++ b/crates/engine/tests/support/mod.rs
@@ -1,9 +1,9 @@
-//! The engine on a virtual clock, with its workers and jobs.
+//! Shared by the tests: an engine on a virtual clock, its workers, and jobs to submit.
 
 use brackenledge_engine::{Command, Engine, JobRequest, Request};
 use brackenledge_policy::{Effect, JobId, ListKind, NewJob, Settings, WorkerEntry};
 
-/// How many workers the tests have.
+/// Number of workers in the endpoint table.
 pub const WORKERS: usize = 4;
 
 /// A ready worker.
@@ -16,7 +16,7 @@
     (0..WORKERS).map(worker).collect()
 }
 
-/// The engine on a virtual clock, with all workers ready.
+/// An engine on a virtual clock, with all workers ready.
 pub struct ClockedEngine {
     pub engine: Engine,
     pub now: f64,
@@ -31,10 +31,10 @@
     }
 
     pub fn submit_job(&mut self, request: JobRequest) -> JobId {
-        self.engine.submit_job(self.now, request).expect("ids are new")
+        self.engine.submit_job(self.now, request).expect("request ids are unique")
     }
 
-    /// Lets the engine do what is due by now.
+    /// Handles the engine's timer if it has expired.
     pub fn handle_due_timeout(&mut self) {
         if self.now >= self.timeout_at {
             self.timeout_at = f64::INFINITY;
@@ -42,7 +42,7 @@
         }
     }
 
-    /// The next command; timers are set here.
+    /// The next command. `SetTimer` is executed here as well as returned.
     pub fn poll_command(&mut self) -> Option<Command> {
         let command = self.engine.poll_command(self.now)?;
         if let Command::SetTimer { after } = command {
@@ -52,7 +52,7 @@
     }
 }
 
-/// A job of one slot, with a request id of its own for each client.
+/// A job of one slot; its request id is derived from `client`.
 pub fn job_request(
     client: usize,
     class: usize,
