--- a/crates/daemon/src/net/cluster/admin.rs
+++ b/crates/daemon/src/net/cluster/admin.rs
@@ -49,7 +49,7 @@
             self.withheld_aggregates,
             self.malformed_datagrams + counts.malformed,
             self.leases.dropped_messages,
-            counts.false_deaths
+            counts.false_positives
         ));
         lines
     }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -1,44 +1,46 @@
-//! The intervals and timeouts of SWIM by cluster size, and foca's configuration.
+//! SWIM's intervals and timeouts for a cluster size, and the foca configuration built from them.
 
 use crate::{MAX_MESSAGE_BYTES, Millis};
 use foca::{Config, PeriodicParams};
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// Number of members that one round of gossip is sent to.
+/// Number of members that each round of gossip is sent to.
 const GOSSIP_FANOUT: NonZeroUsize = NonZeroUsize::new(3).expect("not zero");
-/// Number of members that are asked to probe one that has not answered (SWIM's ping-req). At 30% loss an indirect probe
-/// succeeds one time in four. With three of them a cluster of 40 had 24 false deaths an hour, with six none (measured;
-/// the expected rate with three is some 22 suspicions a second).
+/// Number of members that are asked to probe a member that has not answered (SWIM's ping-req). At 30% loss an
+/// indirect probe succeeds one time in four. A cluster of 40 had 24 false positives an hour with three
+/// indirect probes, and none with six; the calculated rate with three is some 22 suspicions a second.
 const INDIRECT_PROBES: NonZeroUsize = NonZeroUsize::new(6).expect("not zero");
-/// An update on a member is transmitted this often, whatever the cluster's size. It must be gossiped for as long as a
-/// suspicion lasts: ten transmissions, three in each round, were over after 0.7 s (66 false deaths an hour in a cluster
-/// of four at 30% loss).
+/// Minimum number of transmissions of an update on a member, whatever the size of the cluster. An update must
+/// be gossiped for as long as a suspicion lasts: ten transmissions, three in each round, were used up after
+/// 0.7 s, with 66 false positives an hour in a cluster of four at 30% loss.
 const MIN_TRANSMISSIONS: u8 = 40;
-/// Further transmissions of an update, for each of the [`gossip_rounds`].
+/// Additional transmissions of an update, for each of the [`gossip_rounds`].
 const TRANSMISSIONS_PER_ROUND: u8 = 6;
 
-/// Intervals and timeouts of SWIM, each in milliseconds by the caller's clock.
+/// SWIM's intervals and timeouts, in milliseconds of the caller's clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SwimConfig {
-    /// Time between two probes by a process, each of one other.
+    /// Time between two probes by a process. Each probe goes to one other process.
     pub probe_interval: Millis,
-    /// How long an answer to a probe may take; then others are asked to probe.
+    /// How long to wait for the answer to a probe before others are asked to probe.
     pub probe_timeout: Millis,
-    /// How long a suspect process has to refute the suspicion.
+    /// How long a suspect process has to refute the suspicion before it is declared down.
     pub suspicion_timeout: Millis,
     /// Time between two rounds of gossip.
     pub gossip_interval: Millis,
-    /// Time between two requests for the whole membership, each to one other, so that partitions join again.
+    /// Time between two requests for the state of all members, each sent to one other process. They let the
+    /// parts of a cluster find each other after a partition.
     pub announce_interval: Millis,
-    /// How long a down process is remembered, so that late messages do not bring it back.
+    /// How long a down process is remembered, so that late messages do not make it a member again.
     pub down_retention: Millis,
 }
 
 impl SwimConfig {
-    /// The times for a cluster of so many schedulers. The suspicion timeout grows with the number of gossip rounds: a suspicion
-    /// must reach the suspect, and its refutation all others, before it is declared down, and at 30% loss each round
-    /// reaches half as many. Figures: docs/measurements/leases.md.
+    /// Settings for a cluster of this many schedulers. The suspicion timeout grows with the number of gossip
+    /// rounds: the suspicion must reach the suspect, and the refutation all others, before the suspect is
+    /// declared down, and at 30% loss each round reaches half as many. Measurements:
+    /// docs/measurements/leases.md.
     pub fn for_cluster_size(schedulers: usize) -> SwimConfig {
         SwimConfig {
             probe_interval: 400.0,
@@ -50,7 +52,7 @@
         }
     }
 
-    /// foca's configuration for a cluster of so many schedulers.
+    /// The foca configuration for a cluster of this many schedulers.
     pub(crate) fn to_foca(self, schedulers: usize) -> Config {
         let to_members =
             |num_members, interval| Some(PeriodicParams { frequency: duration(interval), num_members });
@@ -71,7 +73,7 @@
     }
 }
 
-/// Rounds in which gossip reaches all schedulers: the logarithm of their number.
+/// Number of rounds in which gossip reaches all schedulers: the binary logarithm of their number.
 fn gossip_rounds(schedulers: usize) -> f64 {
     (schedulers.max(2) as f64).log2()
 }
--- a/crates/membership/src/identity.rs
+++ b/crates/membership/src/identity.rs
@@ -1,22 +1,24 @@
-//! The identity of a process, and of a member as SWIM knows it.
+//! The identity of a process, and the identity under which it takes part in SWIM.
 
 use foca::Identity;
 use serde::{Deserialize, Serialize};
 
-/// A process: a scheduler's ordinal and its incarnation.
+/// Identifies one run of a scheduler: its ordinal and its incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ProcessId {
-    /// The scheduler's index in the settings.
+    /// Index of the scheduler in the settings.
     pub ordinal: u16,
-    /// Its start in Unix milliseconds; a later one under the same ordinal supersedes it.
+    /// Start time of the process in Unix milliseconds. A process with the same ordinal and a later start
+    /// supersedes it.
     pub incarnation: u64,
 }
 
-/// The identity by which other members know a process. One that was declared down by mistake renews it to rejoin.
+/// The identity by which other members know a process. A process that was wrongly declared down renews it to
+/// rejoin.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct MemberIdentity {
     pub process: ProcessId,
-    /// How often the process has renewed its identity.
+    /// How many times the process has renewed its identity.
     pub renewals: u16,
 }
 
@@ -26,7 +28,7 @@
         MemberIdentity { process, renewals: 0 }
     }
 
-    /// The address of a scheduler whose incarnation is not known: older than that of any process.
+    /// Addresses a scheduler whose incarnation is not known. It is older than every process of that ordinal.
     pub fn unknown_incarnation(ordinal: u16) -> MemberIdentity {
         MemberIdentity::new(ProcessId { ordinal, incarnation: 0 })
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,26 +1,28 @@
-//! Which of a cluster's schedulers are alive, suspect or down, by messages that may be lost, duplicated, late or
-//! reordered.
+//! Cluster membership: which schedulers are alive, suspect or down, over messages that may be lost,
+//! duplicated, delayed or reordered.
 //!
-//! **Invariants.** Never a panic on any bytes. No message over [`MAX_MESSAGE_BYTES`]. A process is identified by its
-//! ordinal and its incarnation: one that has restarted is another process, and of two under one ordinal the older one is
-//! down. A living process that is suspect refutes the suspicion, and one that was declared down by mistake rejoins by
-//! itself.
+//! **Invariants.** No input bytes cause a panic. No message is longer than [`MAX_MESSAGE_BYTES`]. A process
+//! is identified by its ordinal and its incarnation: a restarted scheduler is another process, and of two
+//! processes with the same ordinal the older one is down. A running process that is suspect refutes the
+//! suspicion, and one that was wrongly declared down rejoins by itself.
 //!
-//! SWIM with suspicion (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable weakly-consistent infection-style process group
-//! membership protocol", 2002), by the crate `foca`. This crate adds the identity of a process, intervals and timeouts by
-//! cluster size, counts, and one interface: [`Membership::handle_message`] and [`Membership::handle_timeout`] in,
-//! [`Membership::poll_command`] out. No I/O, no clock.
+//! The protocol is SWIM with suspicion (A. Das, I. Gupta, A. Motivala, "SWIM: Scalable weakly-consistent
+//! infection-style process group membership protocol", 2002), implemented by the crate `foca`. This crate
+//! adds process identities, intervals and timeouts for each cluster size, counts, and an interface without
+//! I/O: [`Membership::handle_message`] and [`Membership::handle_timeout`] take the inputs,
+//! [`Membership::poll_command`] returns the outputs. It reads no clock.
 //!
-//! **What it does not promise.** That all agree at any time: two schedulers may disagree on a third, for ever while a link
-//! is partitioned one way. What must not be done twice is decided by `leases`, for which this is only evidence. Nor that
-//! a message comes from whom it says: peers are known by their addresses alone.
+//! **Not guaranteed.** Members need not agree: two schedulers may disagree on a third, indefinitely while a
+//! link is partitioned one way. Actions that must not be done twice are therefore guarded by the crate
+//! `leases`, for which membership is only a hint. Messages are not authenticated: peers are identified by
+//! their addresses alone.
 //!
-//! | message | lost | repeated | late |
+//! | message | if lost | if duplicated | if late |
 //! | --- | --- | --- | --- |
-//! | probe, and its answer | sent again through six others, then the target is suspect | answered again | ignored: it carries a number |
-//! | update on a member | sent by others, and again | no change: it carries an incarnation | the same |
-//! | announcement of a newcomer | repeated until a member answers | answered again | the same |
-//! | last message of a process that leaves | found out by probes | no change | the same |
+//! | probe or answer | probed through six others, then suspect | answered again | ignored by probe number |
+//! | update on a member | sent again, also by others | ignored by incarnation | the same |
+//! | announcement | repeated until a member answers | answered again | answered |
+//! | leave | detected by probes | no change | no change |
 
 mod config;
 mod identity;
@@ -36,20 +38,21 @@
 use std::collections::{BTreeSet, VecDeque};
 use timers::TimerQueue;
 
-/// Milliseconds on the caller's clock, which counts the time that a process was stopped.
+/// Milliseconds on the caller's clock, which must also advance while the process is stopped.
 pub type Millis = f64;
 
-/// The longest message, in bytes: one less than the platform's datagram, for the byte that says which part it is for.
+/// Maximum length of a message in bytes: the platform's datagrams carry 256 bytes, of which the first states
+/// the kind of message.
 pub const MAX_MESSAGE_BYTES: usize = 255;
 
-/// What is believed of a process.
+/// State of a process, as this scheduler sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberState {
-    /// It answers probes.
+    /// The process answers probes.
     Alive,
-    /// A probe of it failed; it may still refute the suspicion.
+    /// A probe failed; the process may still refute the suspicion.
     Suspect,
-    /// It did not refute the suspicion in time, or has left.
+    /// The process did not refute the suspicion in time, or has left.
     Down,
 }
 
@@ -63,7 +66,7 @@
     }
 }
 
-/// What the caller is to do.
+/// A command or notification for the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Command {
     /// Send a message to the scheduler of this ordinal.
@@ -75,52 +78,54 @@
     },
     /// A process has become a member.
     MemberUp(ProcessId),
-    /// A process is down, or has left.
+    /// A process that was reported up is down or has left.
     MemberDown(ProcessId),
-    /// A newer process of our own ordinal exists: this one is to release what it holds.
+    /// A newer process with our own ordinal exists. This one must release the leases that it holds.
     Superseded,
 }
 
 /// Counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Messages that are malformed, too long, or not for us.
+    /// Messages that are malformed, too long, or rejected by foca for another reason.
     pub malformed: u64,
     /// Messages received, malformed ones included.
     pub received: u64,
-    /// Times that this process rejoined after others had declared it down by mistake.
-    pub false_deaths: u64,
+    /// How many times this process rejoined after others had wrongly declared it down.
+    pub false_positives: u64,
 }
 
-/// One scheduler's view of the cluster's members.
+/// The members of the cluster, as one scheduler sees them.
 pub struct Membership {
     foca: Foca<MemberIdentity, foca::PostcardCodec, ChaCha8Rng, foca::NoCustomBroadcast>,
     runtime: AccumulatingRuntime<MemberIdentity>,
     timers: TimerQueue,
     commands: VecDeque<Command>,
     me: ProcessId,
-    /// Ordinals of the others in the settings.
+    /// Ordinals of all other schedulers in the settings.
     seeds: Vec<u16>,
-    /// Index of the seed that is announced to next.
+    /// Index of the first seed to consider for the next announcement.
     next_seed: usize,
     announce_at: Millis,
-    /// Processes that the caller was told are up.
+    /// Processes that were reported with [`Command::MemberUp`] and not yet with [`Command::MemberDown`].
     reported_up: BTreeSet<ProcessId>,
-    /// Whether no other member is known.
+    /// Whether no other active member is known.
     is_alone: bool,
     has_left: bool,
     is_superseded: bool,
     counts: Counts,
 }
 
-/// A newcomer announces itself to one seed after another this often, until one answers.
+/// Interval at which a process that knows no other member announces itself, to one seed after another, until
+/// one answers.
 const JOIN_ANNOUNCE_INTERVAL: Millis = 200.0;
-/// Later, a seed that is no member is announced to this often: where parts of a cluster were started apart or partitioned,
-/// no member of one knows any of the other.
+/// Interval of later announcements, to seeds that are not members. They join parts of a cluster that were
+/// started separately or partitioned, where no member of one part knows any member of the other.
 const MISSING_SEED_ANNOUNCE_INTERVAL: Millis = 1_000.0;
 
 impl Membership {
-    /// A process that has just started and knows no other. `seeds`: the ordinals of the others, announced to in turn.
+    /// A process that has just started and knows no other. It announces itself to `seeds`, the ordinals of
+    /// all other schedulers, in turn.
     pub fn new(
         now: Millis,
         me: ProcessId,
@@ -137,7 +142,7 @@
             timers: TimerQueue::default(),
             commands: VecDeque::new(),
             me,
-            // Different processes begin with different seeds.
+            // Each process begins with a different seed, so that they do not all announce to the same one.
             next_seed: usize::from(me.ordinal) % schedulers.max(2),
             seeds,
             announce_at: now,
@@ -149,7 +154,7 @@
         }
     }
 
-    /// This process.
+    /// The identity of this process.
     pub fn me(&self) -> ProcessId {
         self.me
     }
@@ -159,28 +164,28 @@
         self.counts
     }
 
-    /// All other processes that are known, and their states.
+    /// All other known processes and their states, down ones included.
     pub fn peers(&self) -> impl Iterator<Item = (ProcessId, MemberState)> {
         self.foca.iter_membership_state().map(|member| (member.id().process, member.state().into()))
     }
 
-    /// All processes that are alive or suspect, this one included unless it has left.
+    /// All processes that are alive or suspect, including this one unless it has left.
     pub fn active_members(&self) -> impl Iterator<Item = ProcessId> {
         let own = (!self.has_left).then_some(self.me);
         self.foca.iter_members().map(|member| member.id().process).chain(own)
     }
 
-    /// When [`Membership::handle_timeout`] is to be called next.
+    /// When to call [`Membership::handle_timeout`] next; infinity if there is nothing to wait for.
     pub fn next_timeout(&self) -> Millis {
         let announces = !self.has_left && !self.seeds.is_empty();
         let announce_at = if announces { self.announce_at } else { f64::INFINITY };
         self.timers.next_due().map_or(announce_at, |due_at| due_at.min(announce_at))
     }
 
-    /// Does what is due.
+    /// Handles the timers that are due, and announces this process if that is due.
     pub fn handle_timeout(&mut self, now: Millis) {
         while let Some(timer) = self.timers.pop_due(now) {
-            // foca reports timers that have become obsolete as errors.
+            // foca returns an error for a timer that is obsolete; there is nothing to do then.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
             self.drain_runtime(now);
         }
@@ -189,7 +194,7 @@
         }
     }
 
-    /// Announces this process to the next seed that is no member.
+    /// Announces this process to the next seed that is not a member.
     fn announce_to_missing_seed(&mut self, now: Millis) {
         let interval = if self.is_alone { JOIN_ANNOUNCE_INTERVAL } else { MISSING_SEED_ANNOUNCE_INTERVAL };
         self.announce_at = now + interval;
@@ -199,13 +204,14 @@
         if let Some((skipped, &ordinal)) = missing {
             self.next_seed = (self.next_seed + skipped + 1) % self.seeds.len();
             let seed = MemberIdentity::unknown_incarnation(ordinal);
-            // It fails only if the message can't be encoded, and is repeated in any case.
+            // Fails only if the message can't be encoded. Announcements are repeated in any case.
             let _ = self.foca.announce(seed, &mut self.runtime);
             self.drain_runtime(now);
         }
     }
 
-    /// Handles a message. Returns whether it is well-formed; a process that has left ignores all, and returns true.
+    /// Handles a message and returns whether it is well-formed. After [`Membership::leave`] messages are
+    /// ignored and the result is true.
     pub fn handle_message(&mut self, now: Millis, bytes: &[u8]) -> bool {
         self.counts.received += 1;
         if self.has_left {
@@ -216,7 +222,7 @@
             self.commands.push_back(Command::Superseded);
         }
         let is_well_formed = match self.foca.handle_data(bytes, &mut self.runtime) {
-            // Where a newer process of our ordinal exists, others may pass a message of our own back to us.
+            // If a newer process with our ordinal exists, others may send our own messages back to us.
             Ok(()) | Err(foca::Error::DataFromOurselves) => true,
             Err(_) => false,
         };
@@ -225,8 +231,9 @@
         is_well_formed
     }
 
-    /// Whether a message is addressed to a newer process of our ordinal: two may share an address, and each receives some
-    /// of the other's messages. An announcement does not count, since it may be addressed to a process that is down.
+    /// Whether a message is addressed to a newer process with our ordinal. Two such processes may share an
+    /// address, so that each receives some of the other's messages. Announcements do not count, since they
+    /// may be addressed to a process that is down.
     pub fn is_for_newer_incarnation(&self, bytes: &[u8]) -> bool {
         let header: Option<foca::Header<MemberIdentity>> = foca::PostcardCodec.decode_header(bytes).ok();
         header.is_some_and(|header| {
@@ -237,29 +244,29 @@
         })
     }
 
-    /// Announces to some others that this process leaves. After that it sends nothing more.
+    /// Tells some other members that this process leaves. After that it sends no more messages.
     pub fn leave(&mut self, now: Millis) {
         if !std::mem::replace(&mut self.has_left, true) {
-            // If it can't be said, the others find out by their probes.
+            // If this fails, the others detect the leave by their probes.
             let _ = self.foca.leave_cluster(&mut self.runtime);
             self.drain_runtime(now);
             self.timers.clear();
         }
     }
 
-    /// What the caller is to do next.
+    /// The next command; `None` if there is nothing to do until the next input.
     pub fn poll_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// Reports a process as up, unless it was.
+    /// Reports a process as up, unless it is reported up already.
     fn report_up(&mut self, process: ProcessId) {
         if self.reported_up.insert(process) {
             self.commands.push_back(Command::MemberUp(process));
         }
     }
 
-    /// Reports a process as down, if it was reported up.
+    /// Reports a process as down if it was reported up.
     fn report_down(&mut self, process: ProcessId) {
         if self.reported_up.remove(&process) {
             self.commands.push_back(Command::MemberDown(process));
@@ -283,12 +290,12 @@
         match notification {
             OwnedNotification::MemberUp(member) => self.report_up(member.process),
             OwnedNotification::MemberDown(member) => self.report_down(member.process),
-            // The renewed identity of the same process is no change.
+            // A renewed identity of the same process is not a change of membership.
             OwnedNotification::Rename(before, after) if before.process != after.process => {
                 self.report_down(before.process);
                 self.report_up(after.process);
             }
-            OwnedNotification::Rejoin(_) => self.counts.false_deaths += 1,
+            OwnedNotification::Rejoin(_) => self.counts.false_positives += 1,
             OwnedNotification::Idle => {
                 self.is_alone = true;
                 self.announce_at = now;
--- a/crates/membership/src/timers.rs
+++ b/crates/membership/src/timers.rs
@@ -1,4 +1,4 @@
-//! foca's timers on the caller's clock.
+//! Queue of foca's timers on the caller's clock.
 
 use crate::Millis;
 use crate::identity::MemberIdentity;
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// A timer and the time that it is due. Ordered by that time, and by the order of scheduling where it is the same.
+/// A timer and the time at which it is due. Ordered by that time, then by the order of scheduling.
 struct ScheduledTimer {
     due_at: Millis,
     sequence: u64,
@@ -33,10 +33,11 @@
     }
 }
 
-/// Timers, earliest first; those due at the same time in the order in which they were scheduled.
+/// Timers, earliest first. Timers due at the same time are taken in the order in which they were scheduled.
 #[derive(Default)]
 pub(crate) struct TimerQueue {
     timers: BinaryHeap<Reverse<ScheduledTimer>>,
+    /// Number of timers scheduled so far.
     scheduled: u64,
 }
 
@@ -46,12 +47,12 @@
         self.timers.push(Reverse(ScheduledTimer { due_at, sequence: self.scheduled, timer }));
     }
 
-    /// When the earliest timer is due.
+    /// When the earliest timer is due; `None` if there is none.
     pub fn next_due(&self) -> Option<Millis> {
         self.timers.peek().map(|Reverse(scheduled)| scheduled.due_at)
     }
 
-    /// Takes the earliest timer, if it is due.
+    /// Removes and returns the earliest timer if it is due.
     pub fn pop_due(&mut self, now: Millis) -> Option<Timer<MemberIdentity>> {
         if self.next_due()? > now {
             return None;
