--- a/crates/discovery/src/directory.rs
+++ b/crates/discovery/src/directory.rs
@@ -1,4 +1,4 @@
-//! The endpoint directory: ties the discovery client, the endpoint table and gossip together.
+//! The endpoint directory, which connects the discovery client, the endpoint table and gossip.
 
 use crate::anti_entropy::{AntiEntropy, PullFrom};
 use crate::client::{
@@ -18,18 +18,21 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Keeps the random numbers apart from those of other parts that are given the same seed.
+/// Combined with the seed, so that the random sequence differs from those of other components with the same
+/// seed.
 const SEED_MASK: u64 = 0x05ea_5011;
+/// Likewise, for the random numbers of anti-entropy.
 const ANTI_ENTROPY_SEED_MASK: u64 = 0x0a17_e217;
 
-/// What a request has brought of an update that is not complete yet.
+/// The entries received by a request since its last complete update.
 struct PartialUpdate {
     /// When the request was opened.
     requested_at: Millis,
     records: Vec<EndpointRecord>,
 }
 
-/// What one scheduler knows of the endpoints; see the crate's page for the invariant and the table of inputs.
+/// One scheduler's knowledge of the endpoints. The crate documentation describes the invariant and the
+/// inputs.
 pub struct EndpointDirectory {
     table: EndpointTable,
     client: DiscoveryClient,
@@ -39,20 +42,20 @@
     rng: Rng,
     anti_entropy_rng: Rng,
     partial_updates: BTreeMap<RequestId, PartialUpdate>,
-    /// Discovery has sent a list since the start.
+    /// Whether discovery has sent a list since the start.
     list_received: bool,
     freshness: Freshness,
-    /// Since when it has been fresh without a break, if it is.
+    /// Since when `freshness` has been `Fresh` without interruption; `None` while it is not.
     fresh_since: Option<Millis>,
     commands: VecDeque<Command>,
     counts: Counts,
 }
 
 impl EndpointDirectory {
-    /// A directory without endpoints.
+    /// Creates a directory without endpoints.
     pub fn new(now: Millis, settings: DiscoverySettings) -> Self {
         let mut rng = Rng::with_seed(settings.seed ^ SEED_MASK);
-        // Its own, so that the other parts draw the same numbers whether there are pulls or not.
+        // A generator of its own, so that pulls do not shift the random sequence of the other components.
         let mut anti_entropy_rng = Rng::with_seed(settings.seed ^ ANTI_ENTROPY_SEED_MASK);
         let gossip = (settings.gossip && settings.schedulers > 1)
             .then(|| Gossip::new(now, settings.ordinal, settings.schedulers));
@@ -75,68 +78,69 @@
 
     // ---- Queries.
 
-    /// Where an endpoint listens.
+    /// The address on which an endpoint listens for this scheduler; `None` if the endpoint or its address is
+    /// unknown.
     pub fn address(&self, id: WorkerId) -> Option<SocketAddr> {
         self.table.get(id)?.record.address
     }
 
-    /// Whether an endpoint takes new work.
+    /// Whether an endpoint accepts new jobs.
     pub fn is_ready(&self, id: WorkerId) -> bool {
         self.table.get(id).is_some_and(|endpoint| endpoint.readiness() == Readiness::Ready)
     }
 
-    /// An endpoint's status, who reported it, and for how long it has been so.
+    /// An endpoint's status, its source and its age.
     pub fn status(&self, now: Millis, id: WorkerId) -> Option<EndpointStatus> {
         self.table.status(now, id)
     }
 
-    /// Whether jobs can be served: discovery has sent a list, or the cached one names an endpoint that takes work. An
-    /// empty cached list says nothing, and jobs sent to this scheduler on it would be rejected.
+    /// Whether jobs can be served: discovery has sent a list, or the cached list contains a ready endpoint. A
+    /// cached list without one does not count, because this scheduler would reject every job.
     pub fn can_serve(&self) -> bool {
         self.list_received || self.table.listed_ready() > 0
     }
 
-    /// All endpoints with their statuses.
+    /// All endpoints with their records and current readiness, including gone ones that are not removed yet.
     pub fn endpoints(&self) -> impl Iterator<Item = (WorkerId, &EndpointRecord, Readiness)> {
         self.table.endpoints()
     }
 
-    /// The zone of an endpoint.
+    /// The zone of an endpoint, as an index into the zones of the settings.
     pub fn zone(&self, id: WorkerId) -> Option<u32> {
         Some(self.table.get(id)?.record.zone)
     }
 
-    /// The revision of the list held.
+    /// The revision of the held list; `None` before the first list, cached or not.
     pub fn revision(&self) -> Option<u64> {
         self.table.revision()
     }
 
-    /// How far discovery's list can be relied on now.
+    /// How current the held list is, as of the last input.
     pub fn freshness(&self) -> Freshness {
         self.freshness
     }
 
-    /// Endpoints in the table, gone ones that are not yet forgotten included.
+    /// Number of endpoints in the table, including gone ones that are not removed yet.
     pub fn len(&self) -> usize {
         self.table.len()
     }
 
-    /// Whether no endpoint is known at all.
+    /// Whether the table contains no endpoint, not even a gone one.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// How many endpoints there are, gone ones left out, and how many of them take work.
+    /// Number of endpoints that are not gone, and how many of them are ready.
     pub fn availability(&self) -> Availability {
         self.table.availability()
     }
 
-    /// Counts since the start.
+    /// Counters since the start.
     pub fn counts(&self) -> Counts {
         self.counts
     }
 
-    /// The endpoint of this name.
+    /// The id of the endpoint with this name.
     pub fn find(&self, name: &str) -> Option<WorkerId> {
         self.table.find(name)
     }
@@ -148,7 +152,7 @@
 
     // ---- Discovery.
 
-    /// Takes in the list as it was cached before a restart.
+    /// Loads the list that was cached before a restart.
     pub fn load_cached(&mut self, now: Millis, revision: u64, records: Vec<EndpointRecord>) {
         let update =
             ListUpdate { revision, source: StatusSource::Cached, is_snapshot: false, requested_at: now };
@@ -156,56 +160,57 @@
         self.publish_entries(ListKind::Cached);
     }
 
-    /// The policy subscribes to changes, or ends its subscription.
+    /// Subscribes the policy to changes, or ends its subscription.
     pub fn set_watching(&mut self, now: Millis, watching: bool) {
         self.client.set_watching(now, watching);
         self.advance(now);
     }
 
-    /// The policy asks for the whole list once.
+    /// Requests the complete list once, on behalf of the policy.
     pub fn request_poll(&mut self, now: Millis) {
         self.client.request_poll(now);
         self.advance(now);
     }
 
-    /// Discovery has a new address: requests to the old one are suspected, and a new watch is opened at once.
+    /// Handles a new address of discovery: requests to the old address become suspect, and a new watch is
+    /// opened at once.
     pub fn handle_address_change(&mut self, now: Millis) {
         self.client.handle_address_change(now);
         self.advance(now);
     }
 
-    /// A request's connection is up.
+    /// Handles the establishment of a request's connection.
     pub fn handle_connected(&mut self, now: Millis, request: RequestId) {
         self.client.handle_connected(now, request);
         self.advance(now);
     }
 
-    /// The head of a request's response has come.
+    /// Handles the head of a request's response.
     pub fn handle_response_head(&mut self, now: Millis, request: RequestId) {
         self.client.handle_response_head(now, request);
         self.advance(now);
     }
 
-    /// Bytes of a response have come; to be called after the entries and updates that they completed were handled.
-    /// `mid_update`: they end within an update.
+    /// Handles the receipt of response bytes. Call it after the entries and updates that the bytes completed
+    /// have been handled. `mid_update`: the bytes end within an update.
     pub fn handle_bytes(&mut self, now: Millis, request: RequestId, mid_update: bool) {
         self.client.handle_bytes(now, request, mid_update);
         if mid_update {
-            // Status changes are logged once the update is complete, or has stood still for long enough to be late.
+            // Status changes are logged once the update is complete, or is late because it makes no progress.
             self.advance_without_status_events(now);
         } else {
             self.advance(now);
         }
     }
 
-    /// A keep-alive has come: nothing has changed.
+    /// Handles a keep-alive, which confirms the held list.
     pub fn handle_keep_alive(&mut self, now: Millis, request: RequestId) {
         self.client.handle_update(now, request, false);
         self.advance(now);
     }
 
-    /// One entry of an update has come. What takes an endpoint out of use counts at once, for the update may break off;
-    /// all else waits until the update is complete.
+    /// Handles one entry of an update. An entry that marks an endpoint as draining or gone takes effect at
+    /// once, since the update may break off; all others are applied when the update is complete.
     pub fn handle_entry(&mut self, now: Millis, request: RequestId, record: EndpointRecord) {
         if record.readiness != Readiness::Ready
             && let Some(id) = self.table.find(&record.name)
@@ -218,7 +223,8 @@
         }
     }
 
-    /// An update is complete: the entries since the last one are changes, or all there is (`is_snapshot`).
+    /// Handles the end of an update. Its entries are those received since the previous update of the request.
+    /// `is_snapshot`: they are the complete list rather than changes.
     pub fn handle_update(&mut self, now: Millis, request: RequestId, revision: u64, is_snapshot: bool) {
         let Some(partial) = self.partial_updates.get_mut(&request) else { return };
         let records = std::mem::take(&mut partial.records);
@@ -238,15 +244,15 @@
         let held = self.table.revision();
         let changes = self.table.apply_update(now, &update, records);
         if held != Some(revision) || !changes.is_empty() {
-            self.spread(now, revision, &changes);
+            self.advertise_changes(now, revision, &changes);
         }
-        self.reapply_gossip(now, revision, &changes);
+        self.reapply_peer_changes(now, revision, &changes);
         self.revision_gap.on_update(revision);
         self.publish_entries(ListKind::Delta);
         self.advance(now);
     }
 
-    /// Discovery has restarted and counts its revisions from anew.
+    /// Handles a restart of discovery, after which its revision numbering starts over.
     fn restart_revisions(&mut self, now: Millis, update: &ListUpdate) {
         let held = self.table.revision().unwrap_or(0);
         self.event(Event::RevisionsRestarted { revision: update.revision });
@@ -260,25 +266,25 @@
         }
     }
 
-    /// A peer may have reported a newer change of an endpoint that this update makes ready: of one that was not known, or was
-    /// out of use already, so that the report was of no use then.
-    fn reapply_gossip(&mut self, now: Millis, held: u64, changes: &[EndpointChange]) {
+    /// Applies peers' newer changes to endpoints that this update has made ready. Such a change had no effect
+    /// when it arrived if the endpoint was not known then or was not ready by the list.
+    fn reapply_peer_changes(&mut self, now: Millis, held: u64, changes: &[EndpointChange]) {
         let made_ready = changes.iter().filter(|change| change.readiness == Readiness::Ready);
         let Some(gossip) = &self.gossip else { return };
         let newer: Vec<ReportedChange> =
-            made_ready.filter_map(|change| gossip.change_beyond(held, change.tag)).collect();
+            made_ready.filter_map(|change| gossip.change_newer_than(held, change.tag)).collect();
         for ReportedChange { reporter, change } in newer {
-            self.apply_gossip(now, reporter, change);
+            self.apply_peer_change(now, reporter, change);
         }
     }
 
-    fn spread(&mut self, now: Millis, revision: u64, changes: &[EndpointChange]) {
+    fn advertise_changes(&mut self, now: Millis, revision: u64, changes: &[EndpointChange]) {
         if let Some(gossip) = &mut self.gossip {
             gossip.on_list_change(now, revision, changes);
         }
     }
 
-    /// A request has ended.
+    /// Handles the end of a request.
     pub fn handle_request_end(&mut self, now: Millis, request: RequestId, end: RequestEnd) {
         self.partial_updates.remove(&request);
         if let Some(failure) = self.client.handle_end(now, request, end) {
@@ -290,8 +296,8 @@
 
     // ---- Peers and the endpoints themselves.
 
-    /// Handles a message of another scheduler. Returns whether it is gossip on endpoints; gossip that does not decode is
-    /// ignored.
+    /// Handles a message from another scheduler. Returns whether it is endpoint gossip; gossip that is
+    /// invalid is ignored.
     pub fn handle_message(&mut self, now: Millis, from: u16, text: &str) -> bool {
         if !is_gossip(text) {
             return false;
@@ -304,7 +310,7 @@
             self.anti_entropy.on_reply(from, known);
         }
         self.anti_entropy.on_revision_heard_of(now, from, known, held, &mut self.anti_entropy_rng);
-        self.take_in_gossip(now, from, &received);
+        self.apply_new_changes(now, from, &received);
         if self.list_received {
             self.revision_gap.on_claim(now, received.held_revision, held, &mut self.rng);
         }
@@ -313,24 +319,24 @@
         true
     }
 
-    fn take_in_gossip(&mut self, now: Millis, from: u16, received: &ReceivedGossip) {
-        if received.news.is_empty() {
+    fn apply_new_changes(&mut self, now: Millis, from: u16, received: &ReceivedGossip) {
+        if received.new_changes.is_empty() {
             return;
         }
         let reported_before = self.counts.first_reported_by_peer;
-        for &change in &received.news {
-            self.apply_gossip(now, from, change);
+        for &change in &received.new_changes {
+            self.apply_peer_change(now, from, change);
         }
         self.event(Event::ChangesLearned {
             from,
             revision: received.known_revision,
-            changes: received.news.len(),
+            changes: received.new_changes.len(),
             withdrawn: self.counts.first_reported_by_peer - reported_before,
             held_revision: self.table.revision().unwrap_or(0),
         });
     }
 
-    fn apply_gossip(&mut self, now: Millis, from: u16, change: EndpointChange) {
+    fn apply_peer_change(&mut self, now: Millis, from: u16, change: EndpointChange) {
         let Some(id) = self.table.find_by_tag(change.tag) else { return };
         let source = StatusSource::Peer(from);
         if self.table.set_override(now, id, change.readiness, change.revision, source) {
@@ -338,10 +344,10 @@
         }
     }
 
-    /// Takes in a signal from an endpoint's own behaviour.
+    /// Handles a signal derived from an endpoint's behaviour.
     pub fn handle_signal(&mut self, now: Millis, id: WorkerId, signal: EndpointSignal) {
         if self.table.add_signal(now, id, signal) {
-            self.table.review(now, self.freshness);
+            self.table.update_inferred_statuses(now, self.freshness);
             self.publish_entries(ListKind::Delta);
             self.publish_status_changes();
         }
@@ -349,7 +355,7 @@
 
     // ---- Time and commands.
 
-    /// When [`EndpointDirectory::handle_timeout`] is to be called next.
+    /// When [`EndpointDirectory::handle_timeout`] is to be called next; infinite if no timeout is pending.
     pub fn next_timeout(&self) -> Millis {
         let gossip = self
             .gossip
@@ -359,7 +365,7 @@
         self.client.next_timeout().min(gossip).min(gap).min(self.table.next_timeout())
     }
 
-    /// Does what is due.
+    /// Handles all timeouts that are due.
     pub fn handle_timeout(&mut self, now: Millis) {
         if let Some(revision) = self.revision_gap.take_missing(now) {
             self.event(Event::RevisionMissing { revision });
@@ -370,12 +376,12 @@
         self.advance(now);
     }
 
-    /// The next thing to do.
+    /// Takes the next command to execute; `None` if there is none.
     pub fn poll_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// Executes what the latest input has made due, and publishes all changes.
+    /// Executes what has become due with the latest input, and publishes all changes.
     fn advance(&mut self, now: Millis) {
         self.advance_without_status_events(now);
         self.publish_status_changes();
@@ -393,7 +399,7 @@
             self.freshness = freshness;
             self.anti_entropy.on_freshness(now, freshness, &mut self.anti_entropy_rng);
             self.fresh_since = (freshness == Freshness::Fresh).then_some(now);
-            self.table.review(now, freshness);
+            self.table.update_inferred_statuses(now, freshness);
             self.publish_entries(ListKind::Delta);
         }
         self.send_gossip(now);
@@ -438,7 +444,8 @@
         }
     }
 
-    /// Hands changed entries to the policy. That is never a whole list: an endpoint missing in one is reported as gone.
+    /// Sends changed entries to the policy, never a complete list. Endpoints missing from a snapshot are sent
+    /// as gone.
     fn publish_entries(&mut self, kind: ListKind) {
         let entries = self.table.take_changed_entries();
         if !entries.is_empty() {
--- a/crates/discovery/src/endpoint.rs
+++ b/crates/discovery/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint: its entry in discovery's list, what overrides that entry, and the status that follows.
+//! One endpoint: its entry in discovery's list, what overrides that entry, and the resulting status.
 
 use crate::gossip::{EndpointChange, name_tag};
 use crate::rollout::PlacementGroup;
@@ -9,41 +9,42 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// An entry of discovery's list.
+/// An entry of discovery's endpoint list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRecord {
-    /// The endpoint's name, the same at every scheduler.
+    /// The endpoint's name, which is the same for all schedulers.
     pub name: String,
-    /// Where it listens for this scheduler; `None`: the list's text is no address, and the old one stays.
+    /// The address on which it listens for this scheduler. `None` if the list's text is not a valid address;
+    /// the previous address is kept then.
     pub address: Option<SocketAddr>,
-    /// Its zone, as an index into the settings' zones.
+    /// The endpoint's zone, as an index into the zones of the settings.
     pub zone: u32,
-    /// Its machine kind, likewise.
+    /// The kind of its machine, as an index into the kinds of the settings.
     pub kind: u32,
-    /// Its cell.
+    /// The number of its cell.
     pub cell: u32,
-    /// Its status by the list.
+    /// The readiness stated in the list.
     pub readiness: Readiness,
-    /// A figure for comparing it with others.
+    /// A number for comparing the endpoint with others.
     pub weight: f64,
-    /// When it last started, in milliseconds of Unix time.
+    /// When it last started, in milliseconds of Unix time; `None` if unknown.
     pub started_at: Option<Millis>,
 }
 
-/// Where an endpoint's status comes from.
+/// The source of an endpoint's status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusSource {
-    /// The list cached before the start.
+    /// The list cached before this scheduler started.
     Cached,
-    /// An update of a watch.
+    /// A complete update of a watch.
     Watch,
     /// A polled list.
     Poll,
-    /// An update of a watch or a poll that is not complete.
+    /// An incomplete update of a watch or a poll.
     PartialUpdate,
-    /// Another scheduler, by its ordinal.
+    /// The scheduler with this ordinal.
     Peer(u16),
-    /// The endpoint's own signals.
+    /// Signals derived from the endpoint's behaviour.
     Signals,
 }
 
@@ -60,75 +61,82 @@
     }
 }
 
-/// The status of one endpoint, and its reason.
+/// The status of one endpoint, with its source and age.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EndpointStatus {
-    /// Whether it takes new work.
+    /// The current readiness; only a ready endpoint accepts new jobs.
     pub readiness: Readiness,
-    /// The probability, 0 to 1, that a ready one drains and this scheduler has not been notified.
+    /// The probability, 0 to 1, that a ready endpoint is draining without this scheduler having been
+    /// notified.
     pub drain_probability: f64,
-    /// Who reported it.
+    /// What reported the status.
     pub source: StatusSource,
-    /// The revision of the list that reported it, or that was held when it was inferred.
+    /// The revision of the list that reported the status; for an inferred status, of the list that last
+    /// confirmed the endpoint.
     pub revision: u64,
-    /// For how long it has been so, in milliseconds.
+    /// How long the endpoint has had this status, in milliseconds.
     pub age: Millis,
 }
 
-/// A report that takes an endpoint out of use before this scheduler's own list does. It is never
-/// [`Readiness::Ready`].
+/// A report that an endpoint is draining or gone, while this scheduler's own list still says that it is
+/// ready.
 #[derive(Clone, Copy)]
 pub(crate) struct StatusOverride {
+    /// Never [`Readiness::Ready`].
     pub(crate) readiness: Readiness,
     pub(crate) source: StatusSource,
-    /// The revision of the list that says so; a list held that is as new settles it.
+    /// The list revision that contains the change. An own list of this revision or a newer one supersedes the
+    /// override.
     pub(crate) revision: u64,
     pub(crate) received_at: Millis,
-    /// Discovery has restarted its count of revisions since, so that `revision` can't be compared with those to come.
+    /// Discovery has since restarted its revision numbering, so `revision` cannot be compared with later
+    /// revisions.
     pub(crate) revisions_restarted: bool,
 }
 
 impl StatusOverride {
-    /// Whether it ends since a complete update of this revision names its endpoint, or leaves it out of a snapshot.
-    pub(crate) fn is_settled_by_entry(&self, revision: u64) -> bool {
+    /// Whether a complete update of this revision ends the override, given that the update contains the
+    /// endpoint or is a snapshot without it.
+    pub(crate) fn is_superseded_by_entry(&self, revision: u64) -> bool {
         self.revision <= revision || self.revisions_restarted
     }
 
-    /// Whether it ends since a complete update has come, whatever that says of its endpoint: the list held is as new as
-    /// the override, or it is a snapshot that was requested after the override was received, and revisions have restarted
-    /// meanwhile. A snapshot that is merely older comes from a discovery replica that lags, and settles nothing.
-    pub(crate) fn is_settled_by_update(&self, update: &ListUpdate) -> bool {
+    /// Whether a complete update ends the override, regardless of whether it contains the endpoint. It does
+    /// if it is at least as new as the override, or if revision numbering has restarted since and the update
+    /// is a snapshot requested after the override was received. A snapshot that is merely older comes from a
+    /// lagging discovery replica and does not end it.
+    pub(crate) fn is_superseded_by_update(&self, update: &ListUpdate) -> bool {
         let is_requested_later = self.received_at < update.requested_at;
         self.revision <= update.revision
             || (update.is_snapshot && self.revisions_restarted && is_requested_later)
     }
 }
 
-/// All that is known of one endpoint.
+/// The state of one endpoint in the table.
 pub(crate) struct Endpoint {
     pub(crate) record: EndpointRecord,
     pub(crate) name_hash: u64,
     /// The revision of the list that last confirmed the record.
     pub(crate) revision: u64,
     pub(crate) source: StatusSource,
-    /// Since when the record has had its readiness.
+    /// Since when the record has had its current readiness.
     pub(crate) listed_since: Millis,
-    /// When this scheduler first saw the endpoint, or saw it start again.
+    /// When this scheduler first saw the endpoint, or last saw a new start time of it.
     pub(crate) instance_since: Millis,
-    /// The number of the last update that named it.
+    /// The sequence number of the last complete update that contained it.
     pub(crate) last_update: u64,
     pub(crate) status_override: Option<StatusOverride>,
     pub(crate) evidence: DrainEvidence,
-    /// Its own signals suggest a drain, and it is held back for them.
+    /// Its signals suggest a drain, so it gets no new jobs.
     pub(crate) suspected: bool,
     /// When `suspected` last changed.
     pub(crate) suspected_at: Millis,
-    /// See [`EndpointStatus::drain_probability`]; counts only while it is ready.
+    /// See [`EndpointStatus::drain_probability`]; applies only while the endpoint is ready.
     pub(crate) drain_probability: f64,
 }
 
 impl Endpoint {
-    /// An endpoint that no list has confirmed yet: it counts as gone.
+    /// Creates an endpoint that no complete list has confirmed yet. It counts as gone until then.
     pub(crate) fn new(now: Millis, record: &EndpointRecord) -> Self {
         Endpoint {
             name_hash: hash(&record.name),
@@ -146,7 +154,7 @@
         }
     }
 
-    /// Its status, from the record and whatever overrides that.
+    /// The current readiness, from the record and what overrides it.
     pub(crate) fn readiness(&self) -> Readiness {
         match (self.record.readiness, self.status_override) {
             (Readiness::Ready, Some(status_override)) => status_override.readiness,
@@ -155,12 +163,12 @@
         }
     }
 
-    /// The probability that it drains unnoticed: zero unless it is ready.
+    /// The probability that the endpoint is draining unnoticed; zero unless it is ready.
     pub(crate) fn drain_probability(&self) -> f64 {
         if self.readiness() == Readiness::Ready { self.drain_probability } else { 0.0 }
     }
 
-    /// Its status with the reason.
+    /// The status with its source, revision and age.
     pub(crate) fn status(&self, now: Millis) -> EndpointStatus {
         let (source, revision, since) = match (self.record.readiness, self.status_override) {
             (Readiness::Ready, Some(report)) => (report.source, report.revision, report.received_at),
@@ -178,17 +186,17 @@
         }
     }
 
-    /// Whether its own signals suffice to suspect a drain, with hysteresis.
+    /// Whether the signals are sufficient evidence of a drain, with hysteresis.
     pub(crate) fn has_drain_evidence(&self, now: Millis) -> bool {
         self.evidence.value(now) >= if self.suspected { CLEAR_THRESHOLD } else { SUSPECT_THRESHOLD }
     }
 
-    /// Its readiness by the list of this revision, as a change for peers.
+    /// The readiness in the list of this revision, as a change to send to peers.
     pub(crate) fn listed_change(&self, revision: u64) -> EndpointChange {
         EndpointChange { tag: name_tag(self.name_hash), readiness: self.record.readiness, revision }
     }
 
-    /// Its placement group: where its machine stands.
+    /// The zone and the machine kind, as the unit of rolling releases.
     pub(crate) fn group(&self) -> PlacementGroup {
         PlacementGroup { zone: self.record.zone, kind: self.record.kind }
     }
--- a/crates/discovery/src/event.rs
+++ b/crates/discovery/src/event.rs
@@ -1,89 +1,90 @@
-//! Events for the log: typed, so that the driver writes them as a stable name with fields.
+//! Typed log events. The driver writes each of them as a stable event name with fields.
 
 use crate::client::{Freshness, OpenReason, RequestId, RequestKind, RequestPhase};
 use crate::endpoint::StatusSource;
 use brackenledge_policy::{Millis, Readiness};
 use std::fmt;
 
-/// Something that an operator may want to see in the log.
+/// An event to be logged for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The status of one endpoint has changed.
     EndpointStatusChanged(StatusChange),
-    /// The status of more than 20 endpoints has changed at one time.
+    /// The statuses of more than 20 endpoints have changed at once.
     EndpointStatusChangedMany(StatusChangeSummary),
-    /// A request to discovery was made, is late, was given up, or has failed.
+    /// A request to discovery was opened, is late, was given up, or has failed.
     Request(RequestEvent),
-    /// Discovery's list can be relied on more, or less, than before.
+    /// The freshness of the held list has changed.
     FreshnessChanged {
-        /// Before.
+        /// The previous freshness.
         from: Freshness,
-        /// Now.
+        /// The current freshness.
         to: Freshness,
-        /// The revision held; 0: none.
+        /// The held revision; 0 if none.
         revision: u64,
     },
-    /// A peer has reported changes that are newer than the list held and were not known yet.
+    /// A peer has reported changes that were not known before and are newer than the held list.
     ChangesLearned {
         /// The peer's ordinal.
         from: u16,
-        /// The newest revision of the message.
+        /// The newest revision that the peer knows of.
         revision: u64,
-        /// Changes in it that were not known.
+        /// Number of changes that were not known before.
         changes: usize,
-        /// Endpoints that it has taken out of use.
+        /// Number of ready endpoints that the changes have marked as draining or gone.
         withdrawn: u64,
-        /// The revision held; 0: none.
+        /// The held revision; 0 if none.
         held_revision: u64,
     },
-    /// A polled list was ignored, since a newer one came after it had been asked for.
+    /// A polled list was ignored because a newer list arrived after the poll had been opened.
     OutdatedListIgnored {
         /// The ignored list's revision.
         revision: u64,
     },
-    /// Discovery counts its revisions from anew.
+    /// Discovery has restarted its revision numbering.
     RevisionsRestarted {
-        /// The first revision of the new count that was seen.
+        /// The first revision of the new numbering that arrived here.
         revision: u64,
     },
-    /// A peer holds a revision that has not arrived here; the watch is checked by a second one.
+    /// A peer holds a revision that has not arrived here in time; a second watch is opened to check the
+    /// first.
     RevisionMissing {
         /// The missing revision.
         revision: u64,
     },
 }
 
-/// What has happened to a request to discovery.
+/// An event of a request to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RequestEvent {
-    /// It is made.
+    /// The request is opened.
     Opened {
-        /// The request.
+        /// The request's id.
         request: RequestId,
-        /// A watch or a poll.
+        /// Whether it is a watch or a poll.
         kind: RequestKind,
-        /// Why it is made.
+        /// Why it is opened.
         reason: OpenReason,
-        /// The revision held, after which changes are asked for.
+        /// The held revision, after which changes are requested; 0 if none.
         since_revision: u64,
     },
-    /// It has been silent for longer than its phase allows, and stays open for now.
+    /// The request has been silent for longer than expected in its phase, but stays open for now.
     Late {
-        /// The request.
+        /// The request's id.
         request: RequestId,
-        /// How far it has come.
+        /// The phase in which it is late.
         phase: RequestPhase,
     },
-    /// It was silent for so long that it is closed.
+    /// The request was closed because it was silent for too long.
     GivenUp {
-        /// The request.
+        /// The request's id.
         request: RequestId,
-        /// How far it had come.
+        /// The phase in which it was closed.
         phase: RequestPhase,
-        /// When the next request may be made at the earliest, in milliseconds from now.
+        /// Minimum delay before the next request, in milliseconds.
         retry_after: Millis,
     },
-    /// It has failed.
+    /// The request has failed.
     Failed(RequestFailure),
 }
 
@@ -92,39 +93,40 @@
 pub struct StatusChange {
     /// The endpoint's name.
     pub endpoint: String,
-    /// Its status before.
+    /// The previous status.
     pub from: Readiness,
-    /// Its status now.
+    /// The new status.
     pub to: Readiness,
-    /// What changed it.
+    /// What caused the change.
     pub source: StatusChangeSource,
-    /// The list's revision that says so, or the one held where `source` is no list.
+    /// The list revision behind the change. For a change by signals, the revision that last confirmed the
+    /// endpoint.
     pub revision: u64,
 }
 
-/// Changes of many endpoints' statuses at one time.
+/// A summary of many simultaneous status changes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StatusChangeSummary {
-    /// Endpoints that are ready now.
+    /// Number of endpoints that have become ready.
     pub to_ready: usize,
-    /// Endpoints that are draining now.
+    /// Number of endpoints that have become draining.
     pub to_draining: usize,
-    /// Endpoints that are gone now.
+    /// Number of endpoints that have become gone.
     pub to_gone: usize,
-    /// What changed them, if it was the same for all.
+    /// What caused the changes; `None` if the causes differ.
     pub source: Option<StatusChangeSource>,
     /// The newest revision among the changes.
     pub revision: u64,
 }
 
-/// What changed an endpoint's status.
+/// The cause of a status change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StatusChangeSource {
-    /// A report of the status.
+    /// The new status was reported by this source.
     Reported(StatusSource),
-    /// A status override ended, because a working watch has not confirmed it for long enough.
+    /// A status override expired because a working watch had not confirmed it in time.
     OverrideExpired,
-    /// The endpoint's own signals of a drain faded, or a confirmed list takes precedence over them again.
+    /// The evidence of a drain has decayed, or a fresh list takes precedence over it.
     SignalsCleared,
 }
 
@@ -138,33 +140,33 @@
     }
 }
 
-/// A request to discovery that failed.
+/// The failure of a request to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestFailure {
-    /// The request.
+    /// The request's id.
     pub request: RequestId,
-    /// A watch or a poll.
+    /// Whether it is a watch or a poll.
     pub kind: RequestKind,
     /// Why it failed.
     pub cause: FailureCause,
-    /// When the next request may be made at the earliest, in milliseconds from now.
+    /// Minimum delay before the next request, in milliseconds.
     pub retry_after: Millis,
 }
 
 /// Why a request to discovery failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FailureCause {
-    /// No connection came up.
+    /// The connection could not be established.
     NoConnection,
     /// Discovery answered with an error status.
     Rejected,
-    /// The response does not follow the protocol.
+    /// The response violates the protocol.
     InvalidResponse,
-    /// The connection ended before a response.
+    /// The connection was closed before a response began.
     NoResponse,
-    /// The connection ended in the middle of an update.
+    /// The connection was closed in the middle of an update.
     EndedMidUpdate,
-    /// The connection ended between updates.
+    /// The connection was closed between updates.
     Ended,
 }
 
@@ -181,7 +183,7 @@
     }
 }
 
-/// A status as it stands in the log.
+/// The name of a status in the log.
 pub fn readiness_name(readiness: Readiness) -> &'static str {
     match readiness {
         Readiness::Ready => "ready",
--- a/crates/discovery/src/gossip.rs
+++ b/crates/discovery/src/gossip.rs
@@ -1,19 +1,24 @@
-//! Gossip between schedulers on changes of the endpoint list, so that one scheduler's open watch serves all.
+//! Gossip between schedulers about endpoint list changes, so that one working watch keeps all schedulers up
+//! to date.
 //!
-//! In a small cluster a scheduler sends each change to all others. In a larger one, each scheduler to which a change is
-//! new passes it on to two others at random, and its revision to three more (rumour mongering, Demers et al., "Epidemic algorithms for replicated
-//! database maintenance", 1987). A peer whose reply shows that it has heard of the revision gets no further message;
-//! others are sent the rumour again, a few times, within a budget of bytes.
+//! In a small cluster a scheduler sends each change to all peers. In a large one, each scheduler to which a
+//! change is new forwards it to two random peers and sends its revision number alone to three more (rumour
+//! mongering, Demers et al., "Epidemic algorithms for replicated database maintenance", 1987). A peer whose
+//! reply shows that it knows of the revision gets no further message; for the others the rumour is resent a
+//! few times, within a byte budget.
 //!
-//! Messages may be lost, late, overtaken or repeated, and a peer that has heard of a revision may lack a part of it: its
-//! changes may fill several messages. So a rumour promises nothing. What it has not brought is pulled: after a start, and
-//! whenever [`crate::anti_entropy`] says so. No message makes an endpoint known or ready: the endpoint table sees to that.
+//! Messages may be lost, delayed, reordered or duplicated. A peer that knows of a revision may still lack
+//! some of its changes, because they may span several messages. Rumours are therefore best effort, and
+//! missing changes are pulled: at startup, and whenever [`crate::anti_entropy`] schedules a pull. No message
+//! adds an endpoint or makes one ready; the endpoint table enforces this.
 //!
-//! | message | sent | answered by |
+//! | message | content | answered by |
 //! | --- | --- | --- |
-//! | push | a change, a few times until the receiver has heard of its revision | reply |
-//! | pull | with a digest of what is known beside the own list | reply, with the recent changes if the digests differ |
-//! | reply | revisions held and heard of; also unasked, where a change is news in a large cluster | nothing |
+//! | push | changes; resent a few times until the receiver knows of their revision | reply |
+//! | pull | a digest of the known changes newer than the sender's list | reply, with changes if they differ |
+//! | reply | the held and the known revision, and possibly changes | nothing |
+//!
+//! In a large cluster a reply is also sent unsolicited, to advertise a revision.
 
 mod message;
 mod outbox;
@@ -32,34 +37,35 @@
 
 use std::collections::BTreeMap;
 
-/// Most peers that one scheduler sends a change to. In a cluster of one scheduler more all are reached directly.
+/// Maximum number of peers that one scheduler sends a change to. With at most this many peers, changes are
+/// not forwarded.
 const FANOUT: usize = 8;
-/// Pauses before a rumour is sent again to peers that have not confirmed it.
+/// Delays before a rumour is resent to peers that have not confirmed it.
 const PUSH_RETRY_INTERVALS: [Millis; 4] = [120.0, 250.0, 500.0, 1_000.0];
-/// Pauses before the pulls after a start, until a message of any peer comes.
-const PULL_INTERVALS: [Millis; 3] = [0.0, 300.0, 1_200.0];
-/// In a large cluster a change is sent to so many peers, and its revision alone to so many more, who pull the change unless it
-/// reaches them otherwise (lazy push, as in Leitao et al., "Epidemic broadcast trees", 2007).
+/// Delays before the pulls at startup. They stop as soon as a message arrives from any peer.
+const STARTUP_PULL_INTERVALS: [Millis; 3] = [0.0, 300.0, 1_200.0];
+/// Number of peers that a change is sent to in a large cluster.
 const EAGER_FANOUT: usize = 2;
+/// Number of further peers that are sent the revision number alone. They pull the change unless it reaches
+/// them otherwise (lazy push, as in Leitao et al., "Epidemic broadcast trees", 2007).
 const LAZY_FANOUT: usize = 3;
-/// After discovery has restarted its count of revisions, some peers go on by the old count for a while.
-const FORMER_COUNT_TIMEOUT: Millis = 30_000.0;
-/// The pause before a rumour is sent again varies by this much to both sides.
+/// After discovery has restarted its revision numbering, some peers still use the former one for a while.
+const FORMER_NUMBERING_TIMEOUT: Millis = 30_000.0;
+/// Jitter of the resend delays, as a fraction in either direction.
 const RETRY_JITTER: f64 = 0.25;
 
-/// What a peer's message says.
+/// The content of a peer's message.
 pub(crate) struct ReceivedGossip {
-    /// Its changes that were not known, and are newer than the list held.
-    pub(crate) news: Vec<EndpointChange>,
-    /// It is a reply.
+    /// The changes that were not known before and are newer than the held list.
+    pub(crate) new_changes: Vec<EndpointChange>,
     pub(crate) is_reply: bool,
-    /// The revision that the peer holds.
+    /// The revision of the peer's own list.
     pub(crate) held_revision: u64,
-    /// The newest revision that the peer has heard of.
+    /// The newest revision that the peer knows of.
     pub(crate) known_revision: u64,
 }
 
-/// Changes of one revision that are being spread.
+/// The changes of one revision while they are being sent to peers.
 struct Rumour {
     revision: u64,
     changes: Vec<EndpointChange>,
@@ -68,61 +74,61 @@
     receivers: Vec<u16>,
 }
 
-/// The newest revisions that a peer has stated.
+/// The revisions that a peer stated in its latest message.
 #[derive(Clone, Copy)]
 struct PeerRevisions {
-    /// Its own list has it.
+    /// The revision of the peer's own list.
     held: u64,
-    /// It has heard of it; of its changes it may lack some.
+    /// The newest revision that the peer knows of. It may lack some of its changes.
     known: u64,
 }
 
-/// The count of revisions before discovery restarted it.
+/// The revision numbering before discovery restarted it.
 #[derive(Clone, Copy)]
-struct FormerCount {
-    /// The revision held then: what names it or a newer one goes by the old count.
+struct FormerNumbering {
+    /// The revision held at the restart. Messages that state it or a newer one use the former numbering.
     revision: u64,
-    /// Until when that is assumed.
+    /// Until when such messages are rejected.
     until: Millis,
 }
 
-/// What a peer that pulls has stated of its knowledge.
+/// What a pulling peer already knows, as stated in its pull.
 #[derive(Clone, Copy)]
 struct PullState {
     /// The revision of its own list.
     held: u64,
-    /// The newest revision that it has heard of.
+    /// The newest revision that it knows of.
     known: u64,
-    /// A digest of the changes beyond it that it knows.
+    /// A digest of the changes that it knows and that are newer than its list.
     digest: u64,
 }
 
-/// A reply that is due.
+/// A reply to be sent.
 enum Reply {
-    /// States the revisions.
+    /// States the revisions only.
     Acknowledgement,
-    /// Brings the recent changes too, if the peer does not know them.
+    /// Also carries the recent changes, if the peer's digest shows that it lacks some.
     RecentChanges(PullState),
 }
 
-/// One scheduler's part in the gossip.
+/// The gossip state of one scheduler.
 pub(crate) struct Gossip {
     ordinal: u16,
     schedulers: u16,
     peer_revisions: BTreeMap<u16, PeerRevisions>,
-    /// The newest revision heard of here, from the list or by gossip.
+    /// The newest revision known here, from the list or from gossip.
     known_revision: u64,
     rumours: Vec<Rumour>,
-    /// The newest revision that was announced to some peers.
+    /// The newest revision that was advertised alone, without its changes.
     announced_revision: u64,
-    former_count: Option<FormerCount>,
+    former_numbering: Option<FormerNumbering>,
     recent: RecentChanges,
-    /// Replies that are due, by receiver.
+    /// Pending replies, by receiver.
     replies: BTreeMap<u16, Reply>,
-    /// Peers to pull from.
+    /// Peers to pull from with the next messages.
     pulls: Vec<u16>,
-    pulls_sent: usize,
-    next_pull_at: Millis,
+    startup_pulls_sent: usize,
+    next_startup_pull_at: Millis,
     byte_budget: ByteBudget,
 }
 
@@ -135,40 +141,40 @@
             known_revision: 0,
             rumours: Vec::new(),
             announced_revision: 0,
-            former_count: None,
+            former_numbering: None,
             recent: RecentChanges::default(),
             replies: BTreeMap::new(),
             pulls: Vec::new(),
-            pulls_sent: 0,
-            next_pull_at: now,
+            startup_pulls_sent: 0,
+            next_startup_pull_at: now,
             byte_budget: ByteBudget::new(now),
         }
     }
 
-    /// The list held has changed, or another revision of it has been confirmed.
+    /// Handles a change of the held list, or of its revision alone.
     pub(crate) fn on_list_change(&mut self, now: Millis, revision: u64, changes: &[EndpointChange]) {
         self.known_revision = self.known_revision.max(revision);
-        let told: Vec<EndpointChange> =
-            changes.iter().copied().filter(|change| self.is_worth_telling(change)).collect();
-        for &change in &told {
-            self.recent.remember(now, ReportedChange { reporter: self.ordinal, change });
+        let advertised: Vec<EndpointChange> =
+            changes.iter().copied().filter(|change| self.should_advertise(change)).collect();
+        for &change in &advertised {
+            self.recent.insert(now, ReportedChange { reporter: self.ordinal, change });
         }
         self.recent.expire(now);
         if !changes.is_empty() {
-            self.spread(now, revision, told);
+            self.start_rumour(now, revision, advertised);
         }
     }
 
-    /// Discovery has restarted its count of revisions: what is known of the old one says nothing any more.
+    /// Discards all revisions and changes known so far, since discovery has restarted its revision numbering.
     pub(crate) fn restart_revisions(&mut self, now: Millis, former_revision: u64) {
-        let until = now + FORMER_COUNT_TIMEOUT;
-        self.former_count = Some(FormerCount { revision: former_revision, until });
+        let until = now + FORMER_NUMBERING_TIMEOUT;
+        self.former_numbering = Some(FormerNumbering { revision: former_revision, until });
         (self.known_revision, self.announced_revision) = (0, 0);
         self.peer_revisions = BTreeMap::new();
         self.recent.clear();
     }
 
-    /// Takes a message of a peer in; `held_revision` is the one held here.
+    /// Handles a message from a peer. `held_revision` is the revision of this scheduler's list.
     pub(crate) fn handle_message(
         &mut self,
         now: Millis,
@@ -182,25 +188,26 @@
         }
         let Message { purpose, held_revision: peer_held, known_revision: peer_known, .. } = message;
         let known = peer_held.max(peer_known);
-        let is_of_former_count = |former: FormerCount| {
+        let uses_former_numbering = |former: FormerNumbering| {
             now < former.until && held_revision < former.revision && known >= former.revision
         };
-        if self.former_count.is_some_and(is_of_former_count) {
-            return Err(MessageError::FormerCount);
+        if self.former_numbering.is_some_and(uses_former_numbering) {
+            return Err(MessageError::FormerNumbering);
         }
         self.peer_revisions.insert(from, PeerRevisions { held: peer_held, known });
         let digest = message.take_digest();
-        let news = self.learn_changes(now, from, &message, held_revision);
-        // Any message ends the pulls after a start.
-        self.pulls_sent = PULL_INTERVALS.len();
+        let new_changes = self.learn_changes(now, from, &message, held_revision);
+        // Any message ends the startup pulls.
+        self.startup_pulls_sent = STARTUP_PULL_INTERVALS.len();
         self.schedule_reply(from, purpose, PullState { held: peer_held, known, digest });
         let is_reply = purpose == Purpose::Reply;
-        Ok(ReceivedGossip { news, is_reply, held_revision: peer_held, known_revision: known })
+        Ok(ReceivedGossip { new_changes, is_reply, held_revision: peer_held, known_revision: known })
     }
 
-    /// Remembers those of a peer's changes that the own list does not hold, and in a large cluster passes on what is news.
-    /// Each change is judged by itself: of the messages with one revision's changes some may be lost or come late. What
-    /// was pulled is not passed on, for others can pull it too. Gives what is news.
+    /// Stores the peer's changes that are newer than this scheduler's list, and returns those that are new
+    /// here. In a large cluster these are forwarded if they came in a push; pulled changes are not, since
+    /// others can pull them too. Each change is handled on its own, because the changes of one revision may
+    /// span several messages, some of which may be lost or late.
     fn learn_changes(
         &mut self,
         now: Millis,
@@ -208,34 +215,35 @@
         message: &Message,
         held_revision: u64,
     ) -> Vec<EndpointChange> {
-        let mut news = Vec::new();
+        let mut new_changes = Vec::new();
         let newer = message.changes.iter().filter(|change| change.revision > held_revision);
         for &change in newer {
-            if self.is_worth_telling(&change)
-                && self.recent.remember(now, ReportedChange { reporter: from, change }) == Novelty::News
+            if self.should_advertise(&change)
+                && self.recent.insert(now, ReportedChange { reporter: from, change }) == Novelty::New
             {
-                news.push(change);
+                new_changes.push(change);
             }
         }
         self.recent.expire(now);
-        let newest = news.iter().map(|change| change.revision).max().unwrap_or(0);
+        let newest = new_changes.iter().map(|change| change.revision).max().unwrap_or(0);
         self.known_revision = self.known_revision.max(newest);
         if message.purpose == Purpose::Push && self.is_large_cluster() {
-            self.spread(now, newest, news.clone());
+            self.start_rumour(now, newest, new_changes.clone());
         }
-        news
+        new_changes
     }
 
-    /// Whether other schedulers have any use for a change. That an endpoint is ready they learn from their own lists only. It
-    /// matters where it supersedes a withdrawal; and in a small cluster, where it costs little, it brings the revision.
-    fn is_worth_telling(&self, change: &EndpointChange) -> bool {
+    /// Whether a change is worth sending to other schedulers. They accept "ready" from their own lists only,
+    /// so in a large cluster such a change is sent only if it supersedes a known withdrawal. In a small
+    /// cluster it is always sent, because it costs little and tells peers the revision.
+    fn should_advertise(&self, change: &EndpointChange) -> bool {
         let is_withdrawn = |known: ReportedChange| known.change.readiness != Readiness::Ready;
         !self.is_large_cluster()
             || change.readiness != Readiness::Ready
             || self.recent.get(change.tag).is_some_and(is_withdrawn)
     }
 
-    /// Schedules the reply that a message of this purpose asks for. The one to a pull serves as the one to a push too.
+    /// Schedules the reply that a message of this purpose asks for. A reply to a pull also answers a push.
     fn schedule_reply(&mut self, to: u16, purpose: Purpose, state: PullState) {
         match purpose {
             Purpose::Push => {
@@ -248,39 +256,39 @@
         }
     }
 
-    /// Pulls from this peer with the next messages.
+    /// Sends a pull to this peer with the next messages.
     pub(crate) fn pull_from(&mut self, peer: u16) {
         if peer < self.schedulers && peer != self.ordinal && !self.pulls.contains(&peer) {
             self.pulls.push(peer);
         }
     }
 
-    /// Pulls from so many peers at random with the next messages.
+    /// Sends pulls to `count` random peers with the next messages.
     pub(crate) fn pull_from_random(&mut self, count: usize, rng: &mut Rng) {
         for peer in self.random_peers(count, rng) {
             self.pull_from(peer);
         }
     }
 
-    /// The newest change known of an endpoint, if the list of revision `held` does not hold it.
-    pub(crate) fn change_beyond(&self, held: u64, tag: u64) -> Option<ReportedChange> {
+    /// The newest known change of an endpoint, if it is newer than the list of revision `held`.
+    pub(crate) fn change_newer_than(&self, held: u64, tag: u64) -> Option<ReportedChange> {
         self.recent.get(tag).filter(|reported| reported.change.revision > held)
     }
 
     pub(crate) fn next_timeout(&self) -> Millis {
-        let pulling = self.pulls_sent < PULL_INTERVALS.len();
-        let next_pull = if pulling { self.next_pull_at } else { Millis::INFINITY };
+        let pulling = self.startup_pulls_sent < STARTUP_PULL_INTERVALS.len();
+        let next_pull = if pulling { self.next_startup_pull_at } else { Millis::INFINITY };
         self.rumours.iter().map(|rumour| rumour.next_send_at).fold(next_pull, Millis::min)
     }
 
-    /// The messages that are due now.
+    /// Takes the messages that are due now, as far as the byte budget allows.
     pub(crate) fn due_messages(
         &mut self,
         now: Millis,
         held_revision: u64,
         rng: &mut Rng,
     ) -> Vec<OutgoingMessage> {
-        self.schedule_start_pulls(now, rng);
+        self.schedule_startup_pulls(now, rng);
         let mut drafts = Drafts::default();
         self.draft_replies(&mut drafts);
         self.draft_pushes(now, rng, &mut drafts);
@@ -290,8 +298,8 @@
         self.byte_budget.limit(now, messages)
     }
 
-    /// Starts a rumour. One without changes brings the revision alone.
-    fn spread(&mut self, now: Millis, revision: u64, changes: Vec<EndpointChange>) {
+    /// Starts a rumour. Without changes it advertises the revision alone, which only large clusters do.
+    fn start_rumour(&mut self, now: Millis, revision: u64, changes: Vec<EndpointChange>) {
         if changes.is_empty() && !self.is_large_cluster() {
             return;
         }
@@ -304,17 +312,19 @@
         });
     }
 
-    /// The pulls after a start, until a message of any peer comes.
-    fn schedule_start_pulls(&mut self, now: Millis, rng: &mut Rng) {
-        if self.pulls_sent >= PULL_INTERVALS.len() || now < self.next_pull_at {
+    /// Schedules the next startup pull if it is due.
+    fn schedule_startup_pulls(&mut self, now: Millis, rng: &mut Rng) {
+        if self.startup_pulls_sent >= STARTUP_PULL_INTERVALS.len() || now < self.next_startup_pull_at {
             return;
         }
-        self.pulls_sent += 1;
-        self.next_pull_at = now + PULL_INTERVALS.get(self.pulls_sent).copied().unwrap_or(0.0);
+        self.startup_pulls_sent += 1;
+        self.next_startup_pull_at =
+            now + STARTUP_PULL_INTERVALS.get(self.startup_pulls_sent).copied().unwrap_or(0.0);
         self.pull_from_random(FANOUT, rng);
     }
 
-    /// The messages of all pulls that are due. They state a digest of what is known beside the own list.
+    /// Encodes all pending pulls, with a digest of the known changes that are newer than this scheduler's
+    /// list.
     fn encode_pulls(&mut self, held_revision: u64) -> Vec<OutgoingMessage> {
         let pulls = std::mem::take(&mut self.pulls);
         if pulls.is_empty() {
@@ -335,8 +345,9 @@
         }
     }
 
-    /// The changes that a peer in this state may lack. If it has not heard of our newest revision, it is sent what it has not
-    /// heard of; whether it lacks some of the rest shows in its next pull.
+    /// The changes that a pulling peer may lack. If it does not know of the newest revision known here, it is
+    /// sent only the changes newer than its known revision; the digest of its next pull shows whether it
+    /// lacks older ones.
     fn changes_for(&self, PullState { held, known, digest }: PullState) -> Vec<EndpointChange> {
         if digest == self.recent.digest(held) {
             return Vec::new();
@@ -351,17 +362,18 @@
             let is_first_time = rumour.times_sent == 0;
             if is_first_time {
                 rumour.receivers = self.random_peers(FANOUT, rng);
-                self.announce(rumour, drafts);
+                self.limit_fanout(rumour, drafts);
             }
             rumour.next_send_at = match PUSH_RETRY_INTERVALS.get(rumour.times_sent) {
                 Some(pause) => now + pause * (1.0 - RETRY_JITTER + 2.0 * RETRY_JITTER * rng.f64()),
                 None => Millis::INFINITY,
             };
             rumour.times_sent += 1;
-            // Who has heard of the revision may lack a part of it, so all but those whose own lists hold it get it once.
+            // A peer that knows of the revision may lack some of its changes, so the first transmission skips
+            // only peers whose own lists hold the revision.
             let may_lack = |to| match is_first_time {
-                true => !self.holds(to, rumour.revision),
-                false => !self.has_heard_of(to, rumour.revision),
+                true => !self.holds_revision(to, rumour.revision),
+                false => !self.knows_revision(to, rumour.revision),
             };
             for &to in rumour.receivers.iter().filter(|&&to| may_lack(to)) {
                 drafts.add(to, Purpose::Push, rumour.changes.iter().copied());
@@ -371,8 +383,9 @@
         self.rumours = rumours;
     }
 
-    /// In a large cluster, leaves a rumour few receivers, and sends a few others its revision alone, once for each revision.
-    fn announce(&mut self, rumour: &mut Rumour, drafts: &mut Drafts) {
+    /// In a large cluster, limits a rumour to [`EAGER_FANOUT`] receivers and advertises its revision alone to
+    /// [`LAZY_FANOUT`] others, once for each revision.
+    fn limit_fanout(&mut self, rumour: &mut Rumour, drafts: &mut Drafts) {
         if !self.is_large_cluster() {
             return;
         }
@@ -382,33 +395,34 @@
             return;
         }
         self.announced_revision = rumour.revision;
-        for to in lazy.into_iter().take(LAZY_FANOUT).filter(|&to| !self.holds(to, rumour.revision)) {
+        for to in lazy.into_iter().take(LAZY_FANOUT).filter(|&to| !self.holds_revision(to, rumour.revision)) {
             drafts.add(to, Purpose::Reply, []);
         }
     }
 
-    /// Whether there are more peers than one scheduler sends a change to.
+    /// Whether there are more than [`FANOUT`] peers, so that changes have to be forwarded.
     fn is_large_cluster(&self) -> bool {
         usize::from(self.schedulers) > FANOUT + 1
     }
 
-    /// Whether a rumour is to be sent again: it was not sent for the last time, and not all its receivers know it.
+    /// Whether a rumour is still to be sent: it was never sent, or it has retries left and a receiver that
+    /// has not confirmed its revision.
     fn is_pending(&self, rumour: &Rumour) -> bool {
-        let is_unconfirmed = rumour.receivers.iter().any(|&to| !self.has_heard_of(to, rumour.revision));
+        let is_unconfirmed = rumour.receivers.iter().any(|&to| !self.knows_revision(to, rumour.revision));
         rumour.next_send_at.is_finite() && (rumour.times_sent == 0 || is_unconfirmed)
     }
 
-    /// Whether a peer's own list is known to have this revision.
-    fn holds(&self, peer: u16, revision: u64) -> bool {
+    /// Whether a peer has stated that its own list has this revision or a newer one.
+    fn holds_revision(&self, peer: u16, revision: u64) -> bool {
         self.peer_revisions.get(&peer).is_some_and(|known| known.held >= revision)
     }
 
-    /// Whether a peer is known to have heard of this revision.
-    fn has_heard_of(&self, peer: u16, revision: u64) -> bool {
+    /// Whether a peer has stated that it knows of this revision or a newer one.
+    fn knows_revision(&self, peer: u16, revision: u64) -> bool {
         self.peer_revisions.get(&peer).is_some_and(|known| known.known >= revision)
     }
 
-    /// So many peers at random, or all where there are no more than [`FANOUT`] and that many are asked for.
+    /// Up to `count` random peers; all peers if there are no more than that.
     fn random_peers(&self, count: usize, rng: &mut Rng) -> Vec<u16> {
         let mut peers: Vec<u16> = (0..self.schedulers).filter(|&peer| peer != self.ordinal).collect();
         if peers.len() > count {
--- a/crates/discovery/src/gossip/outbox.rs
+++ b/crates/discovery/src/gossip/outbox.rs
@@ -1,15 +1,16 @@
-//! What is due to each receiver, merged, split into messages, and kept within the budget of bytes.
+//! Merges what is to be sent to each receiver, splits it into messages, and limits these to the byte budget.
 
-use super::message::{EndpointChange, MAX_CHANGES, Message, Purpose};
+use super::message::{EndpointChange, MAX_CHANGES_PER_MESSAGE, Message, Purpose};
 use crate::token_bucket::TokenBucket;
 use brackenledge_policy::{Millis, Readiness};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 
-/// Refill rate of the byte budget. It bounds what a fault can cost, and is far above what is usual.
+/// Refill rate of the byte budget. It bounds the traffic that a fault can cause and is far above normal
+/// traffic.
 const BYTES_PER_MILLI: f64 = 16.384;
-/// Capacity of the byte budget.
-const MAX_SAVED_BYTES: f64 = 65_536.0;
+/// Capacity of the byte budget, in bytes.
+const MAX_BURST_BYTES: f64 = 65_536.0;
 
 /// A message to send.
 pub(crate) struct OutgoingMessage {
@@ -17,27 +18,28 @@
     pub(crate) text: String,
 }
 
-/// What the head of each message states.
+/// The revisions in the head of each message.
 #[derive(Clone, Copy)]
 pub(super) struct StatedRevisions {
-    /// The revision of the own list.
+    /// The revision of this scheduler's own list.
     pub(super) held: u64,
-    /// The newest revision heard of.
+    /// The newest known revision.
     pub(super) known: u64,
 }
 
-/// What goes to one receiver, before it is split into messages.
+/// The content for one receiver before it is split into messages.
 struct Draft {
     purpose: Purpose,
     changes: Vec<EndpointChange>,
 }
 
-/// Drafts by receiver.
+/// The drafts of one round, by receiver.
 #[derive(Default)]
 pub(super) struct Drafts(BTreeMap<u16, Draft>);
 
 impl Drafts {
-    /// Adds to what goes to one receiver. A purpose that asks for an answer takes precedence over a reply.
+    /// Adds changes to the draft for one receiver. A purpose that asks for an answer takes precedence over a
+    /// reply.
     pub(super) fn add(
         &mut self,
         to: u16,
@@ -51,8 +53,9 @@
         draft.changes.extend(changes);
     }
 
-    /// Encodes the drafts. All receivers' first messages come first, and of receivers those whose ordinals follow the own
-    /// one: the byte budget may not pay for all, and must not pass over the same schedulers each time.
+    /// Encodes the drafts. The first messages of all receivers precede the second ones, and receivers are
+    /// ordered by ordinal, starting after this scheduler's own. The byte budget may not cover all messages,
+    /// and with this order different senders skip different receivers.
     pub(super) fn encode(self, own_ordinal: u16, revisions: StatedRevisions) -> Vec<OutgoingMessage> {
         let mut messages = Vec::new();
         for (to, draft) in self.0 {
@@ -66,7 +69,8 @@
 }
 
 impl Draft {
-    /// Splits it into messages. Changes that take an endpoint out of use come first, and of each kind the newest.
+    /// Splits the draft into messages. Changes to draining or gone come first, and newer changes before older
+    /// ones.
     fn encode(mut self, StatedRevisions { held, known }: StatedRevisions) -> Vec<String> {
         self.changes.sort_by_key(|change| (change.readiness == Readiness::Ready, Reverse(change.revision)));
         let encode = |changes: &[EndpointChange]| {
@@ -76,28 +80,28 @@
         if self.changes.is_empty() {
             return vec![encode(&[])];
         }
-        self.changes.chunks(MAX_CHANGES).map(encode).collect()
+        self.changes.chunks(MAX_CHANGES_PER_MESSAGE).map(encode).collect()
     }
 }
 
-/// The bytes that may be sent.
+/// Token bucket for sent bytes.
 pub(super) struct ByteBudget(TokenBucket);
 
 impl ByteBudget {
     pub(super) fn new(now: Millis) -> Self {
-        ByteBudget(TokenBucket::new(now, MAX_SAVED_BYTES, BYTES_PER_MILLI))
+        ByteBudget(TokenBucket::new(now, MAX_BURST_BYTES, BYTES_PER_MILLI))
     }
 
-    /// Drops the messages that it does not pay for.
+    /// Drops the messages that exceed the budget.
     pub(super) fn limit(&mut self, now: Millis, mut messages: Vec<OutgoingMessage>) -> Vec<OutgoingMessage> {
         self.0.refill(now);
         messages.retain(|message| {
             let bytes = message.text.len() as f64;
-            let is_paid = self.0.tokens() >= bytes;
-            if is_paid {
+            let is_within_budget = self.0.tokens() >= bytes;
+            if is_within_budget {
                 self.0.take(bytes);
             }
-            is_paid
+            is_within_budget
         });
         messages
     }
--- a/crates/discovery/src/gossip/recent_changes.rs
+++ b/crates/discovery/src/gossip/recent_changes.rs
@@ -1,31 +1,31 @@
-//! The changes of the endpoint list that a scheduler has learned lately, whether from its own list or by gossip.
+//! The recent endpoint list changes that a scheduler has learned from its own list or from gossip.
 //!
-//! Only the newest change of each endpoint is kept. The state of two schedulers is compared by a digest, so that a peer
-//! that lacks nothing is sent nothing (anti-entropy, as in the paper named in [`super`]).
+//! Only the newest change of each endpoint is kept. Two schedulers compare their states by a digest, so that
+//! a peer that lacks no change is sent none (anti-entropy, as in the paper cited in [`super`]).
 
 use super::message::{EndpointChange, name_tag};
 use brackenledge_policy::Millis;
 use brackenledge_policy::hashing::hash;
 use std::collections::{BTreeMap, VecDeque};
 
-/// For how long a change is kept: a peer may have restarted with a list that was cached long ago.
+/// How long a change is kept. A peer may restart with a cached list that is this old.
 const RETENTION: Millis = 600_000.0;
-/// Most changes that are kept.
-const MAX_CHANGES: usize = 4_096;
+/// Maximum number of endpoints whose changes are kept.
+const MAX_RETAINED_CHANGES: usize = 4_096;
 
-/// What is new in a change.
+/// Whether a change is new to this scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Novelty {
-    /// The endpoint's readiness by it was not known.
-    News,
-    /// The endpoint was known to have this readiness.
+    /// No change of the endpoint was known, or an older one to a different readiness.
+    New,
+    /// The readiness or a change at least as new was already known.
     Known,
 }
 
-/// A change with the scheduler that reported it.
+/// A change and the scheduler that reported it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct ReportedChange {
-    /// The ordinal of the peer whose message brought it, or the own one.
+    /// The ordinal of the peer that sent the change, or this scheduler's own.
     pub(crate) reporter: u16,
     pub(crate) change: EndpointChange,
 }
@@ -41,46 +41,47 @@
     }
 }
 
-/// When a change was learned, for its expiry.
+/// The time at which a change of an endpoint was learned, from which its expiry is computed.
 #[derive(Clone, Copy)]
-struct Learned {
+struct ExpiryEntry {
     at: Millis,
     tag: u64,
 }
 
-/// The newest change of each endpoint that has changed lately.
+/// The newest change of each endpoint that has changed recently.
 #[derive(Default)]
 pub(super) struct RecentChanges {
     by_tag: BTreeMap<u64, RecentChange>,
-    /// In the order in which they were learned; an endpoint that has changed again since has a later entry too.
-    learned: VecDeque<Learned>,
+    /// In the order in which the changes were learned. An endpoint has one entry for each of its changes, of
+    /// which only the last one is current.
+    expiry_queue: VecDeque<ExpiryEntry>,
 }
 
 impl RecentChanges {
-    /// Takes a change in, unless a newer one of its endpoint is known. One that is newer and says the same replaces the
-    /// older one, so that all schedulers come to hold the same.
-    pub(super) fn remember(&mut self, now: Millis, reported: ReportedChange) -> Novelty {
+    /// Stores a change unless one at least as new of the same endpoint is known. A newer change to the same
+    /// readiness replaces the older one too, so that all schedulers converge.
+    pub(super) fn insert(&mut self, now: Millis, reported: ReportedChange) -> Novelty {
         let change = reported.change;
         let known = self.by_tag.get(&change.tag).map(RecentChange::change);
         if known.is_some_and(|known| known.revision >= change.revision) {
             return Novelty::Known;
         }
         self.by_tag.insert(change.tag, RecentChange { learned_at: now, reported });
-        self.learned.push_back(Learned { at: now, tag: change.tag });
+        self.expiry_queue.push_back(ExpiryEntry { at: now, tag: change.tag });
         match known {
             Some(known) if known.readiness == change.readiness => Novelty::Known,
-            _ => Novelty::News,
+            _ => Novelty::New,
         }
     }
 
-    /// Forgets what is too old or too much.
+    /// Removes expired changes, and the oldest ones beyond the maximum number.
     pub(super) fn expire(&mut self, now: Millis) {
-        while let Some(&Learned { at, tag }) = self.learned.front() {
+        while let Some(&ExpiryEntry { at, tag }) = self.expiry_queue.front() {
             let is_current = self.by_tag.get(&tag).is_some_and(|recent| recent.learned_at == at);
-            if is_current && now < at + RETENTION && self.by_tag.len() <= MAX_CHANGES {
+            if is_current && now < at + RETENTION && self.by_tag.len() <= MAX_RETAINED_CHANGES {
                 return;
             }
-            self.learned.pop_front();
+            self.expiry_queue.pop_front();
             if is_current {
                 self.by_tag.remove(&tag);
             }
@@ -91,23 +92,24 @@
         *self = RecentChanges::default();
     }
 
-    /// The newest change of this endpoint.
+    /// The newest change of the endpoint with this name tag.
     pub(super) fn get(&self, tag: u64) -> Option<ReportedChange> {
         self.by_tag.get(&tag).map(|recent| recent.reported)
     }
 
-    /// The changes that a list of revision `held` does not hold.
+    /// The changes that are newer than a list of revision `held`.
     pub(super) fn newer_than(&self, held: u64) -> impl Iterator<Item = EndpointChange> + '_ {
         self.by_tag.values().map(RecentChange::change).filter(move |change| change.revision > held)
     }
 
-    /// A digest of [`RecentChanges::newer_than`]: the same wherever these are the same, and 0 where there are none.
+    /// An order-independent digest of [`RecentChanges::newer_than`]; 0 if there are none.
     pub(super) fn digest(&self, held: u64) -> u64 {
         name_tag(self.newer_than(held).map(digest_of).fold(0, |digest, change| digest ^ change))
     }
 }
 
-/// The revision does not count: schedulers may have learned a change from updates of different revisions.
+/// The digest of one change. It excludes the revision, because schedulers may have learned the same change
+/// from updates of different revisions.
 fn digest_of(change: EndpointChange) -> u64 {
     hash(&format!("{} {}", change.tag, change.readiness as u64))
 }
--- a/crates/discovery/src/gossip/tests.rs
+++ b/crates/discovery/src/gossip/tests.rs
@@ -1,4 +1,4 @@
-use super::message::{MAX_CHANGES, MAX_MESSAGE_BYTES};
+use super::message::{MAX_CHANGES_PER_MESSAGE, MAX_MESSAGE_BYTES};
 use super::*;
 
 fn change(tag: u64, readiness: Readiness, revision: u64) -> EndpointChange {
@@ -6,9 +6,10 @@
 }
 
 #[test]
-fn messages_survive_encoding_and_corrupt_ones_do_not_decode() {
-    let changes: Vec<EndpointChange> =
-        (0..MAX_CHANGES as u64).map(|n| change(n * 2_654_435_761, Readiness::Draining, 900 + n)).collect();
+fn messages_round_trip_and_corrupt_messages_are_rejected() {
+    let changes: Vec<EndpointChange> = (0..MAX_CHANGES_PER_MESSAGE as u64)
+        .map(|n| change(n * 2_654_435_761, Readiness::Draining, 900 + n))
+        .collect();
     let message = Message { purpose: Purpose::Push, held_revision: 950, known_revision: 951, changes };
     let text = message.encode();
     assert!(text.len() <= MAX_MESSAGE_BYTES && is_gossip(&text));
@@ -25,18 +26,18 @@
 }
 
 #[test]
-fn a_change_is_sent_again_until_it_is_known_and_no_longer() {
+fn a_change_is_resent_only_until_the_peer_knows_of_it() {
     let mut rng = Rng::with_seed(1);
     let (mut gossip, mut other) = (Gossip::new(0.0, 0, 3), Gossip::new(0.0, 1, 3));
     gossip.due_messages(0.0, 0, &mut rng);
     gossip.on_list_change(10.0, 7, &[change(5, Readiness::Draining, 7)]);
     let sent = gossip.due_messages(10.0, 7, &mut rng);
     assert_eq!(sent.iter().map(|message| message.to).collect::<Vec<_>>(), [1, 2]);
-    let received = other.handle_message(11.0, 0, &sent[0].text, 3).expect("a message");
-    assert_eq!((received.held_revision, received.news), (7, vec![change(5, Readiness::Draining, 7)]));
+    let received = other.handle_message(11.0, 0, &sent[0].text, 3).expect("push is valid");
+    assert_eq!((received.held_revision, received.new_changes), (7, vec![change(5, Readiness::Draining, 7)]));
     let replies = other.due_messages(11.0, 3, &mut rng);
-    let reply = replies.iter().find(|message| message.to == 0).expect("a reply");
-    gossip.handle_message(12.0, 1, &reply.text, 7).expect("a message");
+    let reply = replies.iter().find(|message| message.to == 0).expect("push is answered");
+    gossip.handle_message(12.0, 1, &reply.text, 7).expect("reply is valid");
     let mut later: Vec<u16> = Vec::new();
     while gossip.next_timeout().is_finite() {
         let due = gossip.due_messages(gossip.next_timeout(), 7, &mut rng);
@@ -46,7 +47,7 @@
 }
 
 #[test]
-fn a_scheduler_that_has_just_started_is_sent_the_recent_changes() {
+fn a_scheduler_pulls_the_recent_changes_at_startup() {
     let mut rng = Rng::with_seed(1);
     let (mut old, mut new) = (Gossip::new(0.0, 0, 2), Gossip::new(5_000.0, 1, 2));
     old.due_messages(0.0, 0, &mut rng);
@@ -55,9 +56,9 @@
         old.due_messages(old.next_timeout(), 7, &mut rng);
     }
     let pulls = new.due_messages(5_000.0, 0, &mut rng);
-    old.handle_message(5_001.0, 1, &pulls[0].text, 7).expect("a message");
+    old.handle_message(5_001.0, 1, &pulls[0].text, 7).expect("pull is valid");
     let replies = old.due_messages(5_001.0, 7, &mut rng);
-    let received = new.handle_message(5_002.0, 0, &replies[0].text, 0).expect("a message");
-    assert_eq!(received.news, [change(5, Readiness::Draining, 7)]);
-    assert_eq!(new.next_timeout(), f64::INFINITY, "it has been answered");
+    let received = new.handle_message(5_002.0, 0, &replies[0].text, 0).expect("reply is valid");
+    assert_eq!(received.new_changes, [change(5, Readiness::Draining, 7)]);
+    assert_eq!(new.next_timeout(), f64::INFINITY, "no further startup pull is due after an answer");
 }
--- a/crates/discovery/src/table.rs
+++ b/crates/discovery/src/table.rs
@@ -1,16 +1,17 @@
-//! The endpoint table: the only place that decides whether an endpoint is ready, draining or gone.
+//! The endpoint table, which alone decides whether an endpoint is ready, draining or gone.
 //!
-//! **Invariant.** Only a complete update of this scheduler's own list makes an endpoint ready, be it for the first time
-//! or again. Three other sources can take one out of use meanwhile: a partial update, a peer that holds a newer list
-//! (both by a status override), and the endpoint's own signals. An override ends when the list held is as new as it, or
-//! when a watch that has worked for long enough since has not confirmed it.
+//! **Invariant.** Only a complete update of this scheduler's own list makes an endpoint ready, for the first
+//! time or again. Three other sources can withdraw a ready endpoint in the meantime: a partial update and a
+//! peer with a newer list, both by a status override, and signals derived from the endpoint's behaviour. An
+//! override ends when the held list is at least as new, or when a watch has worked for long enough since
+//! without confirming it.
 //!
-//! | file | what it does |
+//! | file | content |
 //! | --- | --- |
-//! | `table.rs` | look-ups; complete updates; forgetting endpoints that are gone |
-//! | `table/overrides.rs` | status overrides: set, settled, expired |
-//! | `table/suspicion.rs` | suspects by their own signals; drain probabilities during a rollout |
-//! | `table/status_changes.rs` | collects changes of statuses for the log |
+//! | `table.rs` | look-ups; complete updates; removal of endpoints that are gone |
+//! | `table/overrides.rs` | status overrides: how they are set, superseded and expired |
+//! | `table/suspicion.rs` | endpoints suspected of draining; drain probabilities during a rollout |
+//! | `table/status_changes.rs` | collects status changes for the log |
 
 mod overrides;
 mod status_changes;
@@ -24,40 +25,40 @@
 use status_changes::StatusChanges;
 use std::collections::{BTreeSet, HashMap};
 
-/// Endpoints that are gone are forgotten after this long, and their ids reused: no job that was sent to one is in flight
-/// any more, for clients wait some seconds only.
+/// How long gone endpoints are kept before they are removed and their ids are reused. No job is in flight to
+/// them by then, because clients wait only a few seconds.
 const GONE_RETENTION: Millis = 600_000.0;
 
-/// An update of a list that has come completely, or the cached list.
+/// A complete update of the list, or the cached list.
 pub(crate) struct ListUpdate {
     pub(crate) revision: u64,
     pub(crate) source: StatusSource,
-    /// It names all endpoints there are; others are gone.
+    /// It contains all endpoints; those that it does not contain are gone.
     pub(crate) is_snapshot: bool,
     /// When the request that brought it was opened.
     pub(crate) requested_at: Millis,
 }
 
-/// An endpoint that is gone, in the order in which they went.
+/// A gone endpoint. Ordered by the time at which it went.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct GoneEndpoint {
-    /// The time as bits, which order as times after the clock's zero do.
+    /// The bits of the time as a float, whose order is that of the times as long as these are not negative.
     since_bits: u64,
     id: WorkerId,
 }
 
 impl GoneEndpoint {
-    fn forget_at(self) -> Millis {
+    fn remove_at(self) -> Millis {
         Millis::from_bits(self.since_bits) + GONE_RETENTION
     }
 }
 
-/// How many endpoints there are, by their statuses.
+/// Number of endpoints by status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Availability {
     /// Endpoints that are not gone.
     pub listed: usize,
-    /// Of these, the ones that take new work.
+    /// Endpoints that are ready, and hence accept new jobs.
     pub ready: usize,
 }
 
@@ -70,20 +71,20 @@
     ids_by_tag: HashMap<u64, WorkerId>,
     free_ids: Vec<WorkerId>,
     gone: BTreeSet<GoneEndpoint>,
-    /// Endpoints with a status override or with evidence against them.
-    under_review: BTreeSet<WorkerId>,
-    /// Endpoints whose entries the policy has to be given.
+    /// Endpoints with a status override or with evidence of a drain.
+    with_override_or_evidence: BTreeSet<WorkerId>,
+    /// Endpoints whose changed entries have not been sent to the policy yet.
     changed: BTreeSet<WorkerId>,
     status_changes: StatusChanges,
     revision: Option<u64>,
-    /// When the revision held arrived.
+    /// When the held revision arrived.
     revision_at: Millis,
     /// Number of complete updates so far.
     update_count: u64,
-    /// Endpoints that are ready by the list.
+    /// Number of endpoints that are ready according to the list.
     listed_ready: usize,
     rollout: RolloutEstimate,
-    /// Some endpoint has a drain probability at present.
+    /// Whether the endpoints' drain probabilities currently reflect a rollout.
     rollout_applied: bool,
 }
 
@@ -116,12 +117,12 @@
         self.revision
     }
 
-    /// When the revision held arrived.
+    /// When the held revision arrived.
     pub(crate) fn revision_at(&self) -> Millis {
         self.revision_at
     }
 
-    /// Endpoints that are ready by the list.
+    /// Number of endpoints that are ready according to the list.
     pub(crate) fn listed_ready(&self) -> usize {
         self.listed_ready
     }
@@ -130,7 +131,7 @@
         self.ids_by_name.len()
     }
 
-    /// All endpoints with their statuses.
+    /// All endpoints with their records and current readiness.
     pub(crate) fn endpoints(&self) -> impl Iterator<Item = (WorkerId, &EndpointRecord, Readiness)> {
         self.endpoints.iter().enumerate().filter_map(|(id, endpoint)| {
             endpoint.as_ref().map(|endpoint| (id, &endpoint.record, endpoint.readiness()))
@@ -147,7 +148,8 @@
         availability
     }
 
-    /// Discovery counts revisions from anew: what was known under the old ones stays until a snapshot comes.
+    /// Handles a restart of discovery's revision numbering. Endpoints and overrides are kept until a snapshot
+    /// arrives.
     pub(crate) fn restart_revisions(&mut self) {
         self.revision = None;
         for endpoint in self.endpoints.iter_mut().flatten() {
@@ -158,7 +160,7 @@
         }
     }
 
-    /// Applies a complete update; gives the changes to send to peers.
+    /// Applies a complete update, and returns the changes to send to peers.
     pub(crate) fn apply_update(
         &mut self,
         now: Millis,
@@ -169,17 +171,17 @@
         let mut changes: Vec<EndpointChange> =
             records.into_iter().filter_map(|record| self.apply_record(now, update, record)).collect();
         if update.is_snapshot {
-            changes.extend(self.remove_unnamed(now, update));
+            changes.extend(self.mark_unlisted_gone(now, update));
         }
         if self.revision != Some(update.revision) {
             self.revision_at = now;
         }
         self.revision = Some(update.revision);
-        self.settle_overrides(update);
+        self.drop_superseded_overrides(update);
         changes
     }
 
-    /// Applies one entry of a complete update; gives the change to send to peers, if there is one.
+    /// Applies one entry of a complete update, and returns the change to send to peers, if there is one.
     fn apply_record(
         &mut self,
         now: Millis,
@@ -196,10 +198,12 @@
         endpoint.last_update = update_count;
         (endpoint.revision, endpoint.source) = (update.revision, update.source);
         let status_before = endpoint.readiness();
-        let override_settled =
-            endpoint.status_override.take_if(|report| report.is_settled_by_entry(update.revision)).is_some();
+        let override_superseded = endpoint
+            .status_override
+            .take_if(|report| report.is_superseded_by_entry(update.revision))
+            .is_some();
         let record = EndpointRecord { address: record.address.or(endpoint.record.address), ..record };
-        if endpoint.record == record && !override_settled && endpoint.evidence.is_negligible(now) {
+        if endpoint.record == record && !override_superseded && endpoint.evidence.is_negligible(now) {
             return None;
         }
         let listed_before = endpoint.record.readiness;
@@ -216,7 +220,8 @@
         changed.then_some(change)
     }
 
-    /// Replaces the record of an endpoint. A confirmed list undoes whatever was inferred from signals.
+    /// Replaces the record of an endpoint. What was inferred from its signals is discarded, since a confirmed
+    /// list takes precedence.
     fn replace_record(&mut self, now: Millis, id: WorkerId, record: EndpointRecord) {
         let Some(endpoint) = self.get_mut(id) else { return };
         let (listed, started_at) = (record.readiness, record.started_at);
@@ -232,20 +237,21 @@
             endpoint.instance_since = now;
         }
         if endpoint.status_override.is_none() {
-            self.under_review.remove(&id);
+            self.with_override_or_evidence.remove(&id);
         }
         let stayed_ready = before.readiness == Readiness::Ready && listed == Readiness::Ready;
         if restarted && stayed_ready && before.started_at.is_some() {
-            // It went through a drain that was never seen here: a rollout may be in progress.
+            // It drained and restarted without the drain having been seen here, so a rollout may be in
+            // progress.
             self.rollout.record_removed(now, group);
             self.rollout.record_added(now, group);
         }
-        self.on_listed_change(now, id, before.readiness, listed, group);
+        self.on_listed_readiness_change(now, id, before.readiness, listed, group);
         self.changed.insert(id);
     }
 
-    /// Keeps up what follows from a change of the readiness by the list.
-    fn on_listed_change(
+    /// Updates the data derived from the readiness in the list.
+    fn on_listed_readiness_change(
         &mut self,
         now: Millis,
         id: WorkerId,
@@ -260,7 +266,7 @@
         self.listed_ready -= usize::from(before == Readiness::Ready);
         match (before, after) {
             (Readiness::Ready, _) => self.rollout.record_removed(now, group),
-            // The first list is no rollout.
+            // Endpoints in the first list are not part of a rollout.
             (_, Readiness::Ready) if self.revision.is_some() => self.rollout.record_added(now, group),
             _ => {}
         }
@@ -283,8 +289,9 @@
         id
     }
 
-    /// Marks all endpoints as gone that a snapshot has not named; gives the changes to send to peers.
-    fn remove_unnamed(&mut self, now: Millis, update: &ListUpdate) -> Vec<EndpointChange> {
+    /// Marks all endpoints that are missing from a snapshot as gone, and returns the changes to send to
+    /// peers.
+    fn mark_unlisted_gone(&mut self, now: Millis, update: &ListUpdate) -> Vec<EndpointChange> {
         let mut changes = Vec::new();
         for id in 0..self.endpoints.len() {
             let update_count = self.update_count;
@@ -296,13 +303,13 @@
             let status_before = endpoint.readiness();
             endpoint.record.readiness = Readiness::Gone;
             (endpoint.listed_since, endpoint.revision) = (now, update.revision);
-            endpoint.status_override.take_if(|report| report.is_settled_by_entry(update.revision));
+            endpoint.status_override.take_if(|report| report.is_superseded_by_entry(update.revision));
             let group = endpoint.group();
             changes.push(endpoint.listed_change(update.revision));
             if endpoint.status_override.is_none() {
-                self.under_review.remove(&id);
+                self.with_override_or_evidence.remove(&id);
             }
-            self.on_listed_change(now, id, listed_before, Readiness::Gone, group);
+            self.on_listed_readiness_change(now, id, listed_before, Readiness::Gone, group);
             self.changed.insert(id);
             let source = StatusChangeSource::Reported(update.source);
             self.status_changes.record(id, status_before, Readiness::Gone, source, update.revision);
@@ -310,43 +317,43 @@
         changes
     }
 
-    /// Forgets endpoints that have been gone for long, and overrides that have expired. `fresh_since`: since when a watch
-    /// has worked without a break, if one does.
+    /// Removes endpoints whose retention has ended, and overrides that have expired. `fresh_since`: since
+    /// when the list has been fresh without interruption; `None` while it is not.
     pub(crate) fn expire(&mut self, now: Millis, fresh_since: Option<Millis>) {
         while let Some(&gone) = self.gone.first()
-            && now >= gone.forget_at()
+            && now >= gone.remove_at()
         {
             self.gone.pop_first();
-            self.forget(gone.id);
+            self.remove(gone.id);
         }
         self.expire_overrides(now, fresh_since);
     }
 
-    fn forget(&mut self, id: WorkerId) {
+    fn remove(&mut self, id: WorkerId) {
         let Some(endpoint) = self.endpoints[id].take() else { return };
         self.ids_by_name.remove(&endpoint.record.name);
         let tag = name_tag(endpoint.name_hash);
         if self.ids_by_tag.get(&tag) == Some(&id) {
             self.ids_by_tag.remove(&tag);
         }
-        self.under_review.remove(&id);
+        self.with_override_or_evidence.remove(&id);
         self.changed.remove(&id);
-        self.status_changes.forget(id);
+        self.status_changes.discard(id);
         self.free_ids.push(id);
     }
 
-    /// When an endpoint is to be forgotten next.
+    /// When the next endpoint is to be removed; infinite if none is.
     pub(crate) fn next_timeout(&self) -> Millis {
-        self.gone.first().map_or(Millis::INFINITY, |gone| gone.forget_at())
+        self.gone.first().map_or(Millis::INFINITY, |gone| gone.remove_at())
     }
 
-    /// The events for the statuses that have changed since the last call.
+    /// Takes the log events for the statuses that have changed since the last call.
     pub(crate) fn take_status_events(&mut self) -> Vec<Event> {
         let endpoints = &self.endpoints;
         self.status_changes.take_events(|id| endpoints.get(id)?.as_ref())
     }
 
-    /// The entries that have changed since the last call, for the policy.
+    /// Takes the entries that have changed since the last call, for the policy.
     pub(crate) fn take_changed_entries(&mut self) -> Vec<WorkerEntry> {
         let changed = std::mem::take(&mut self.changed);
         let entry = |id: WorkerId| {
--- a/crates/discovery/src/table/overrides.rs
+++ b/crates/discovery/src/table/overrides.rs
@@ -1,24 +1,27 @@
-//! Status overrides of the endpoint table: reports that take an endpoint out of use before the own list does.
+//! Status overrides: reports that an endpoint is draining or gone which precede this scheduler's own list.
 
 use super::{EndpointTable, ListUpdate};
 use crate::endpoint::{StatusOverride, StatusSource};
 use crate::event::StatusChangeSource;
 use brackenledge_policy::{Millis, Readiness, WorkerId};
 
-/// An override that no list has confirmed or settled is dropped once a watch has worked for so long since, lest one false
-/// report last for good. Time without a watch does not count: the list held then may be older than the report.
+/// An override that is neither confirmed nor superseded expires once a watch has worked for this long since
+/// it was received. Otherwise a single false report would last forever. Time without a working watch does not
+/// count, because the held list may then be older than the report.
 const OVERRIDE_TTL: Millis = 60_000.0;
 
 impl EndpointTable {
-    /// An entry of an update that is not complete yet takes an endpoint out of use.
+    /// Withdraws an endpoint because of an entry in an incomplete update, whose revision is assumed to be the
+    /// next one.
     pub(crate) fn withdraw(&mut self, now: Millis, id: WorkerId, readiness: Readiness) {
         let revision = self.revision.unwrap_or(0) + 1;
         self.set_override(now, id, readiness, revision, StatusSource::PartialUpdate);
     }
 
-    /// Takes in a report that is newer than the list held. Older reports change nothing, nor do those of a ready
-    /// endpoint: what an override hides is the own list, which is older than it, and so older than the endpoint's
-    /// return. Tells whether a ready endpoint has been taken out of use.
+    /// Sets a status override if the report is newer than the held list and not older than the current
+    /// override. A report that an endpoint is ready again has no effect: removing the override would restore
+    /// the readiness in this scheduler's own list, which is older than the override and hence than the
+    /// endpoint's return. Returns whether a ready endpoint was withdrawn.
     pub(crate) fn set_override(
         &mut self,
         now: Millis,
@@ -43,7 +46,7 @@
             revisions_restarted: false,
         });
         let after = endpoint.readiness();
-        self.under_review.insert(id);
+        self.with_override_or_evidence.insert(id);
         if before != after {
             self.changed.insert(id);
         }
@@ -51,14 +54,15 @@
         before == Readiness::Ready
     }
 
-    /// Drops the overrides that a complete update has settled.
-    pub(super) fn settle_overrides(&mut self, update: &ListUpdate) {
+    /// Drops the overrides that a complete update has superseded.
+    pub(super) fn drop_superseded_overrides(&mut self, update: &ListUpdate) {
         let source = StatusChangeSource::Reported(update.source);
-        for id in self.under_review.clone() {
+        for id in self.with_override_or_evidence.clone() {
             let Some(endpoint) = self.get_mut(id) else { continue };
             let before = endpoint.readiness();
-            let settled = endpoint.status_override.take_if(|report| report.is_settled_by_update(update));
-            if settled.is_some() {
+            let superseded =
+                endpoint.status_override.take_if(|report| report.is_superseded_by_update(update));
+            if superseded.is_some() {
                 let after = endpoint.readiness();
                 self.changed.insert(id);
                 self.status_changes.record(id, before, after, source, update.revision);
@@ -66,12 +70,12 @@
         }
     }
 
-    /// Drops overrides that have outlived their TTL, and ends the review of endpoints without override or evidence.
+    /// Drops expired overrides, and stops tracking endpoints that have neither an override nor evidence left.
     pub(super) fn expire_overrides(&mut self, now: Millis, fresh_since: Option<Millis>) {
         let expired = |report: &mut StatusOverride| {
             fresh_since.is_some_and(|since| now >= report.received_at.max(since) + OVERRIDE_TTL)
         };
-        for id in self.under_review.clone() {
+        for id in self.with_override_or_evidence.clone() {
             let Some(endpoint) = self.get_mut(id) else { continue };
             let before = endpoint.readiness();
             let dropped = endpoint.status_override.take_if(expired);
@@ -85,7 +89,7 @@
                 self.status_changes.record(id, before, after, source, dropped.revision);
             }
             if nothing_left {
-                self.under_review.remove(&id);
+                self.with_override_or_evidence.remove(&id);
             }
         }
     }
--- a/crates/discovery/src/table/status_changes.rs
+++ b/crates/discovery/src/table/status_changes.rs
@@ -1,31 +1,32 @@
-//! Collects changes of endpoints' statuses until they are written to the log.
+//! Collects status changes until they are logged.
 //!
-//! A change by a partial update is usually confirmed by the rest of that update soon after; it is then logged once, as a
-//! change by the complete update.
+//! A change by a partial update is usually confirmed soon by the rest of that update. It is then logged once,
+//! as a change by the complete update.
 
 use crate::endpoint::Endpoint;
 use crate::event::{Event, StatusChange, StatusChangeSource, StatusChangeSummary};
 use brackenledge_policy::{Readiness, WorkerId};
 use std::collections::BTreeMap;
 
-/// More changes than this at one time are logged as one event with their counts.
+/// Maximum number of simultaneous changes that are logged one by one; more are logged as a single summary.
 const MAX_SINGLE_EVENTS: usize = 20;
 
-/// A change that has not been logged.
+/// A status change that has not been logged yet.
 struct PendingChange {
     from: Readiness,
     source: StatusChangeSource,
     revision: u64,
 }
 
-/// Changes that have not been logged, by endpoint.
+/// Status changes that have not been logged yet, by endpoint.
 #[derive(Default)]
 pub(super) struct StatusChanges {
     pending: BTreeMap<WorkerId, PendingChange>,
 }
 
 impl StatusChanges {
-    /// A status may have changed.
+    /// Records a status change; does nothing if `from` and `to` are the same. Several changes of an endpoint
+    /// are merged into one with the original status and the latest source and revision.
     pub(super) fn record(
         &mut self,
         id: WorkerId,
@@ -41,19 +42,20 @@
         (pending.source, pending.revision) = (source, revision);
     }
 
-    /// A complete update has confirmed the endpoint's status: a change that is not logged yet is attributed to it.
+    /// Attributes a pending change of the endpoint to the complete update that has confirmed it.
     pub(super) fn confirm(&mut self, id: WorkerId, source: StatusChangeSource, revision: u64) {
         if let Some(pending) = self.pending.get_mut(&id) {
             (pending.source, pending.revision) = (source, revision);
         }
     }
 
-    /// The endpoint is forgotten, and its id may be reused.
-    pub(super) fn forget(&mut self, id: WorkerId) {
+    /// Discards a pending change of an endpoint that is being removed, since its id may be reused.
+    pub(super) fn discard(&mut self, id: WorkerId) {
         self.pending.remove(&id);
     }
 
-    /// The events for all changes since the last call.
+    /// Takes the events for all changes since the last call. Statuses that have returned to their original
+    /// value are omitted.
     pub(super) fn take_events<'a>(
         &mut self,
         endpoint: impl Fn(WorkerId) -> Option<&'a Endpoint>,
--- a/crates/discovery/src/table/suspicion.rs
+++ b/crates/discovery/src/table/suspicion.rs
@@ -1,5 +1,5 @@
-//! What the endpoint table infers while discovery is silent: suspects by their own signals, and the drain probabilities
-//! of endpoints that a rollout has not replaced yet.
+//! Inferences while discovery is silent: which endpoints are suspected of draining because of their signals,
+//! and the drain probabilities of endpoints that a rollout has not replaced yet.
 
 use super::EndpointTable;
 use crate::client::Freshness;
@@ -10,11 +10,12 @@
 use brackenledge_policy::{Millis, Readiness, WorkerId};
 use std::collections::BTreeMap;
 
-/// Signals hold back no more than this part of the endpoints that are ready by the list.
+/// Maximum fraction of the endpoints listed as ready that may be suspected at once.
 const MAX_SUSPECT_FRACTION: f64 = 0.5;
 
 impl EndpointTable {
-    /// Takes in a signal; tells whether the evidence now calls for another [`EndpointTable::review`].
+    /// Adds a signal to the evidence against an endpoint listed as ready. Returns whether the evidence now
+    /// contradicts its `suspected` flag, so that [`EndpointTable::update_inferred_statuses`] is to be called.
     pub(crate) fn add_signal(&mut self, now: Millis, id: WorkerId, signal: EndpointSignal) -> bool {
         let Some(endpoint) = self.get_mut(id) else { return false };
         if endpoint.record.readiness != Readiness::Ready {
@@ -25,31 +26,33 @@
         if endpoint.evidence.is_negligible(now) && endpoint.status_override.is_none() && !suspected {
             return false;
         }
-        let call_for_review = endpoint.has_drain_evidence(now) != suspected;
-        self.under_review.insert(id);
-        call_for_review
+        let update_needed = endpoint.has_drain_evidence(now) != suspected;
+        self.with_override_or_evidence.insert(id);
+        update_needed
     }
 
-    /// Weighs signals and the rollout in progress again. While the watch is fresh neither counts.
-    pub(crate) fn review(&mut self, now: Millis, freshness: Freshness) {
+    /// Re-evaluates suspicions and drain probabilities. Neither applies while the list is fresh.
+    pub(crate) fn update_inferred_statuses(&mut self, now: Millis, freshness: Freshness) {
         let unconfirmed = freshness != Freshness::Fresh;
         let max_suspects =
             if unconfirmed { (MAX_SUSPECT_FRACTION * self.listed_ready as f64) as usize } else { 0 };
-        self.review_suspects(now, max_suspects);
+        self.update_suspects(now, max_suspects);
         let rollout_counts = self.rollout.refresh(now) && unconfirmed;
         if rollout_counts || self.rollout_applied {
             self.apply_rollout(rollout_counts);
         }
     }
 
-    /// Suspects the endpoints with the most evidence, `max_suspects` at most, and clears the others.
-    fn review_suspects(&mut self, now: Millis, max_suspects: usize) {
+    /// Marks up to `max_suspects` endpoints with sufficient evidence as suspected, those with the most
+    /// evidence first, and clears the others.
+    fn update_suspects(&mut self, now: Millis, max_suspects: usize) {
         let evidence = |&id: &WorkerId| self.get(id).map_or(0.0, |endpoint| endpoint.evidence.value(now));
         let suffices = |&id: &WorkerId| self.get(id).is_some_and(|endpoint| endpoint.has_drain_evidence(now));
-        let mut suspects: Vec<WorkerId> = self.under_review.iter().copied().filter(suffices).collect();
+        let mut suspects: Vec<WorkerId> =
+            self.with_override_or_evidence.iter().copied().filter(suffices).collect();
         suspects.sort_by(|a, b| evidence(b).total_cmp(&evidence(a)).then(a.cmp(b)));
         suspects.truncate(max_suspects);
-        for id in self.under_review.clone() {
+        for id in self.with_override_or_evidence.clone() {
             self.set_suspected(now, id, suspects.contains(&id));
         }
     }
@@ -70,7 +73,8 @@
         self.status_changes.record(id, before, after, source, revision);
     }
 
-    /// Sets the drain probabilities of endpoints that the rollout in progress has not come to, or clears all.
+    /// Sets the drain probabilities of the endpoints that predate the rollout in progress, and clears all
+    /// others; without a rollout in progress, clears all.
     fn apply_rollout(&mut self, in_progress: bool) {
         self.rollout_applied = in_progress;
         let started_at = self.rollout.started_at();
