--- a/crates/policy/src/action.rs
+++ b/crates/policy/src/action.rs
@@ -1,8 +1,8 @@
-//! What a dispatcher decides. Actions are carried out in the order in which they are given.
+//! The actions that a dispatcher requests. The caller carries them out in the order in which they are given.
 
 use crate::units::{JobId, Millis, WorkerId};
 
-/// What to do.
+/// An action that the caller has to carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
     /// Start an attempt.
@@ -11,57 +11,57 @@
         job: JobId,
         /// The worker.
         worker: WorkerId,
-        /// The attempt's timeout; `None`: until the client stops waiting.
+        /// The attempt's timeout; `None` means until the client stops waiting.
         timeout: Option<Millis>,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     CancelAttempt {
         /// The job.
         job: JobId,
-        /// The attempt's number.
+        /// The attempt's number within the job, from 0.
         attempt: usize,
     },
-    /// Final answer: rejected; a retry by the client is harmless.
+    /// Final answer: the job is rejected. A retry by the client is safe.
     Reject {
         /// The job.
         job: JobId,
-        /// How long the client should wait before a retry, if it is to be told.
+        /// How long the client should wait before a retry; `None` if it is not told.
         retry_after: Option<Millis>,
     },
-    /// Final answer: failed; the job may have run.
+    /// Final answer: the job has failed. It may have run.
     Fail {
         /// The job.
         job: JobId,
     },
-    /// Set a timer: [`Event::Timer`](crate::Event::Timer) is due when it expires.
+    /// Set a timer. When it expires, [`Event::Timer`](crate::Event::Timer) is due.
     SetTimer {
         /// Time until it expires.
         after: Millis,
     },
-    /// Watch the endpoint list, or end the watch.
+    /// Start or end the watch of the endpoint list.
     WatchEndpoints {
-        /// Whether to watch.
+        /// Whether to start the watch.
         on: bool,
     },
-    /// Poll the complete endpoint list once.
+    /// Request the complete endpoint list once.
     PollEndpoints,
-    /// Ask a worker for its load report.
+    /// Request a load report from a worker.
     HealthCheck {
         /// The worker.
         worker: WorkerId,
     },
-    /// Send a message to one scheduler, or to all.
+    /// Send a message to one or all of the other schedulers.
     SendMessage {
-        /// The receiver's number; `None`: all.
+        /// The receiver's number; `None` means all other schedulers.
         to: Option<u32>,
-        /// At most 256 bytes.
+        /// The message, of at most 256 bytes.
         text: String,
     },
-    /// Close idle connections to a worker.
+    /// Close the idle connections to a worker.
     CloseIdleConnections {
         /// The worker.
         worker: WorkerId,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/crates/policy/src/dispatcher/answers.rs
+++ b/crates/policy/src/dispatcher/answers.rs
@@ -1,12 +1,17 @@
 //! Final answers of jobs that are not served, and attempts that take too long. A job is rejected only if a
-//! retry by its client can do no harm.
+//! retry by its client is safe; otherwise it fails.
+
 use super::*;
 
-const OVERTAKEN_MARGIN: Millis = 300.0; // by which a job that started was sent later than one that did not
-const OVERDUE_RATIO: f64 = 3.0; // typical running times after which an attempt counts against its worker
+/// An attempt that has not started is overtaken once its worker has started one that was sent later by more
+/// than this.
+const OVERTAKEN_MARGIN: Millis = 300.0;
+/// An attempt is overdue, and counts as slow for its worker, after this many times its expected duration at
+/// that worker.
+const OVERDUE_RATIO: f64 = 3.0;
 
 impl Dispatcher {
-    /// Answers a job that was not served.
+    /// Gives a job that was not served its final answer.
     pub(super) fn reject_or_fail(&mut self, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.answered) else { return };
         if self.may_reject(job) {
@@ -22,7 +27,7 @@
         self.close_job(id);
     }
 
-    /// Whether it is true that a retry by the client does no harm.
+    /// Whether a retry by the client is safe: the job may be executed again, or no attempt can have run.
     fn may_reject(&self, job: &Job) -> bool {
         let class = &self.settings.classes[job.class];
         match (class.effect, class.deduplication_scope) {
@@ -31,7 +36,7 @@
         }
     }
 
-    /// No client waits any more: attempts in flight are cancelled, so that their slots serve others.
+    /// The client has disconnected: attempts in flight are cancelled, so that their slots become free.
     pub(super) fn on_client_disconnected(&mut self, id: JobId, actions: &mut Vec<Action>) {
         if let Some(job) = self.jobs.get(&id).filter(|_| self.settings.cancellation) {
             let in_flight = job.in_flight();
@@ -40,7 +45,7 @@
         self.close_job(id);
     }
 
-    /// Ends a job; it is forgotten once none of its attempts is in flight.
+    /// Ends a job; its state is removed once none of its attempts is in flight.
     pub(super) fn close_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if std::mem::take(&mut job.queued) {
@@ -52,7 +57,7 @@
         }
     }
 
-    /// A job has waited for an attempt as long as it may, or its client's deadline has passed.
+    /// Rejects or fails a job whose queue deadline or client deadline has passed.
     pub(super) fn on_job_timer(&mut self, now: Millis, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.answered && !job.streaming) else { return };
         let now = now + CLOCK_RESOLUTION;
@@ -62,8 +67,9 @@
         }
     }
 
-    /// Where workers start jobs in order of arrival, one not started long after a later one is on no queue:
-    /// its request or the report of its start was lost. It is cancelled if it can be retried.
+    /// If workers start jobs in the order of arrival, an attempt that has not started long after a later one
+    /// is not in the worker's queue: its request or the report of its start was lost. It is cancelled if the
+    /// job can be retried.
     pub(super) fn cancel_overtaken_attempts(&self, actions: &mut Vec<Action>) {
         if !self.settings.cancellation || !self.settings.starts_in_order {
             return;
@@ -81,7 +87,7 @@
         }
     }
 
-    /// Attempts that take far longer than usual count against their workers before they end, but only once.
+    /// Records attempts in flight that take far longer than expected as slow for their workers, once each.
     pub(super) fn record_overdue_attempts(&mut self, now: Millis) {
         for job in self.jobs.values_mut() {
             let in_flight = job.attempts.iter_mut().filter(|attempt| attempt.in_flight);
--- a/crates/policy/src/dispatcher/loads.rs
+++ b/crates/policy/src/dispatcher/loads.rs
@@ -1,14 +1,21 @@
-//! The slots of workers, as far as load reports and the messages of other schedulers state them.
+//! Occupied and free slots of the workers, from their load reports and from the load messages of other
+//! schedulers.
+
 use super::*;
 
-const HEALTH_CHECK_INTERVAL: Millis = 2_000.0; // of one worker
-const REPORT_TTL: Millis = 3_000.0; // a load report older than this counts for nothing
-const PEER_LOAD_TTL: Millis = 1_500.0; // what another scheduler stated counts for this long
-const AGGREGATED_LOAD_AGE: Millis = 300.0; // that aggregated loads reach; what was sent since is on its way
+/// Interval between two health checks of the same worker.
+const HEALTH_CHECK_INTERVAL: Millis = 2_000.0;
+/// Load reports older than this are ignored.
+const REPORT_TTL: Millis = 3_000.0;
+/// Loads received from another scheduler expire after this time.
+const PEER_LOAD_TTL: Millis = 1_500.0;
+/// Age that aggregated loads reach before the next ones arrive. They do not contain the attempts that other
+/// schedulers started in this time.
+const AGGREGATED_LOAD_AGE: Millis = 300.0;
 
 impl Dispatcher {
     pub(super) fn on_peer_message(&mut self, now: Millis, from: u32, text: &str) {
-        let own = |id: WorkerId| self.workers[id].stated_slots(now).slots;
+        let own = |id: WorkerId| self.workers[id].advertised_slots(now).slots;
         self.peer_loads.handle_message(now, from, text, own);
     }
 
@@ -21,68 +28,71 @@
                 WorkerLoad { occupied, slots: self.known_slots(worker) }
             };
             let loads: Vec<WorkerLoad> = self.ready.ids.iter().map(load).collect();
-            let run_times = AGGREGATED_LOAD_AGE / self.expected_run_times.typical;
+            let run_times = AGGREGATED_LOAD_AGE / self.overall_run_time.typical;
             self.peer_loads.update_expected_level(&loads, run_times);
         } else if self.settings.peer_messages {
             self.broadcast_loads(actions);
         }
     }
 
-    /// In a small cluster all are told the slots in flight. Each attempt pays for a part of a message.
+    /// In a small cluster: sends the slots in flight to all other schedulers, once the attempts started since
+    /// the last broadcast have earned enough message credit.
     fn broadcast_loads(&mut self, actions: &mut Vec<Action>) {
         let ready = self.ready.ids.iter().map(|&id| &self.workers[id]);
         let in_use = ready.filter(|worker| worker.in_flight_slots > 0.0);
         let own = in_use.map(|w| SlotsByHash { name_hash: w.name_hash, slots: w.in_flight_slots });
         let texts = PeerLoads::direct_messages(own);
-        let price = texts.len() as f64 * f64::from(self.settings.schedulers - 1);
-        if price > 0.0 && self.message_credit >= price {
+        let cost = texts.len() as f64 * f64::from(self.settings.schedulers - 1);
+        if cost > 0.0 && self.message_credit >= cost {
             self.message_credit = 0.0;
             actions.extend(texts.into_iter().map(|text| Action::SendMessage { to: None, text }));
         }
     }
 
-    /// In a large cluster the aggregator is told the slots in flight, and tells all.
+    /// In a large cluster: reports the slots in flight to the aggregator or, if this scheduler is the
+    /// aggregator, broadcasts the sums.
     pub(super) fn send_aggregation_messages(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let changed = std::mem::take(&mut self.slots_changed);
         if self.settings.peer_messages {
             let ready = self.ready.ids.iter().map(|&id| &self.workers[id]);
-            let own = ready.map(|worker| worker.stated_slots(now));
+            let own = ready.map(|worker| worker.advertised_slots(now));
             let messages = self.peer_loads.poll_messages(now, changed, own).into_iter();
             actions.extend(messages.map(|OutgoingMessage { to, text }| Action::SendMessage { to, text }));
         }
     }
 
-    /// Free slots, as far as other schedulers' messages or a fresh load report state them; negative: jobs
-    /// queue. Where schedulers send no messages and reports don't tell either, each of the others is taken to
-    /// occupy as much as this one.
+    /// Free slots of a worker, from the load messages of the other schedulers or else from a fresh load
+    /// report; negative if jobs are queued there, `None` if unknown. If schedulers send no messages and the
+    /// worker's reports do not contain the requests in flight, each other scheduler is assumed to occupy as
+    /// many slots as this one.
     pub(super) fn free_slots(&self, now: Millis, id: WorkerId, worker: &Worker) -> Option<f64> {
-        // What all other schedulers state of themselves is newer than a report, and exact.
+        // The loads that all other schedulers sent are newer than a load report, and exact.
         let is_complete = self.peer_loads.is_complete(now, self.settings.schedulers);
         let in_flight = worker.in_flight_slots;
-        let stated = || self.peer_loads.expected_remote_slots(now, id, worker.name_hash, in_flight);
-        let others = f64::from(self.settings.schedulers) - 1.0;
+        let sent_by_peers = || self.peer_loads.expected_remote_slots(now, id, worker.name_hash, in_flight);
+        let peers = f64::from(self.settings.schedulers) - 1.0;
         let is_fresh = now - worker.reported_at < REPORT_TTL;
         let remote = match worker.remote_slots {
-            _ if is_complete => stated(),
+            _ if is_complete => sent_by_peers(),
             Some(remote) if is_fresh => remote,
-            None if !self.settings.peer_messages => in_flight * others,
+            None if !self.settings.peer_messages => in_flight * peers,
             _ => return None,
         };
         let slots = self.known_slots(worker);
         (slots > 0.0).then_some(slots - remote - in_flight)
     }
 
-    /// A worker's slots as reported, or else, in a large cluster, those of its kind; 0: not known.
+    /// A worker's slots as reported or, in a large cluster, else those of its machine kind; 0 if unknown.
     pub(super) fn known_slots(&self, worker: &Worker) -> f64 {
         let is_reported = worker.reported_slots.0 > 0.0 || self.peer_loads.is_direct();
-        if is_reported { worker.reported_slots.0 } else { self.kind(worker.kind).slots.0 }
+        if is_reported { worker.reported_slots.0 } else { self.machine_kind(worker.kind).slots.0 }
     }
 
-    pub(super) fn kind(&self, kind: u32) -> MachineKind {
-        self.kinds.get(&kind).copied().unwrap_or_default()
+    pub(super) fn machine_kind(&self, kind: u32) -> MachineKind {
+        self.machine_kinds.get(&kind).copied().unwrap_or_default()
     }
 
-    /// Asks workers for load reports where those come no other way.
+    /// Requests load reports by health checks, unless they come with responses.
     pub(super) fn check_health(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let is_needed = self.settings.report_source == ReportSource::HealthChecks;
         let ready = self.ready.ids.iter().filter(|_| self.settings.health_checks && is_needed);
@@ -98,7 +108,7 @@
     pub(super) fn on_load_report(&mut self, now: Millis, id: WorkerId, report: Option<LoadReport>) {
         let (Some(worker), Some(report)) = (self.workers.get_mut(id), report) else { return };
         let Some(free) = report.free_slots.filter(|free| free.is_finite()) else { return };
-        let kind = self.kinds.entry(worker.kind).or_default();
+        let kind = self.machine_kinds.entry(worker.kind).or_default();
         if let Some(in_flight) = report.in_flight.filter(|in_flight| in_flight.is_finite()) {
             if free >= 0.5 {
                 worker.reported_slots.observe(free, in_flight);
--- a/crates/policy/src/dispatcher/mod.rs
+++ b/crates/policy/src/dispatcher/mod.rs
@@ -1,12 +1,19 @@
-//! Every decision of a dispatcher; what it only remembers or measures stands beside this module.
+//! The dispatcher makes all scheduling decisions. The state and the estimates that it decides on are kept in
+//! the modules next to this one.
 //!
-//! **Invariant.** A job gets one final answer. No attempt of it starts after that, or at a worker where its
-//! class's effect forbids a further execution.
+//! **Invariant.** A job gets exactly one final answer. No attempt of the job starts after that answer, nor at
+//! a worker where the effect of the job's class forbids another execution.
 //!
-//! Jobs queue by tenant (`queues`); deficit round-robin takes them into a budget of slots, which AIMD adjusts
-//! by the delay until jobs start (`budget`); each job goes to the worker of least cost (`placement`, `loads`,
-//! `workers`); attempts that fail are retried (`attempts`), and jobs that can't be served are answered
-//! (`answers`).
+//! | module | responsibility |
+//! | --- | --- |
+//! | `queues` | per-tenant queues, served by deficit round-robin |
+//! | `budget` | limit on the occupied slots, adjusted by AIMD from the delay until jobs start |
+//! | `placement` | choice of the worker with the lowest cost for a job |
+//! | `loads` | free slots of the workers, health checks, load messages between schedulers |
+//! | `workers` | updates of the worker list, slow start |
+//! | `attempts` | starts, results and retries of attempts |
+//! | `answers` | rejection or failure of jobs that cannot be served, cancellation of attempts |
+
 mod answers;
 mod attempts;
 mod budget;
@@ -14,6 +21,7 @@
 mod placement;
 mod queues;
 mod workers;
+
 use crate::hashing::{hash, rendezvous_distance};
 use crate::job::{Attempt, Job};
 use crate::key_popularity::KeyPopularity;
@@ -35,14 +43,22 @@
 use fastrand::Rng;
 use std::collections::BTreeMap;
 
-const SWEEP_INTERVAL: Millis = 200.0; // between looks at late attempts, and load messages of a small cluster
-const CLOCK_RESOLUTION: Millis = 0.01; // a driver's clock may be rounded by as much
-const POLL_SPREAD: f64 = 0.2; // of the longest interval: when the first poll, or one after a failure, is made
-const OBSERVATION_WEIGHT: f64 = 0.15; // of one more observation of a worker
-const LEAST_RUN_TIME: f64 = 0.5; // fraction of the expected running time that fast workers need at least
-const DEADLINE_MARGIN: Millis = 1.0; // queued jobs end this long before clients stop waiting
+/// Interval of the periodic work: detection of overdue and overtaken attempts, health checks, and, in a small
+/// cluster, load messages.
+const SWEEP_INTERVAL: Millis = 200.0;
+/// The caller's clock may be rounded by up to this much.
+const CLOCK_RESOLUTION: Millis = 0.01;
+/// The first poll is made after a random delay of up to this fraction of the longest poll interval, a poll
+/// after a failure after half to one and a half times this fraction.
+const POLL_JITTER: f64 = 0.2;
+/// Weight of a new observation in the moving averages of a worker.
+const OBSERVATION_WEIGHT: f64 = 0.15;
+/// The fastest workers need at least this fraction of a job's expected running time.
+const MIN_RUN_TIME_FRACTION: f64 = 0.5;
+/// Jobs leave the queue this long before their clients stop waiting.
+const DEADLINE_MARGIN: Millis = 1.0;
 
-/// A dispatcher. See the crate's page for how to drive it.
+/// Decides what is done with each job. The crate documentation shows how to drive it.
 pub struct Dispatcher {
     settings: Settings,
     rng: Rng,
@@ -52,34 +68,43 @@
     tenant_queues: Vec<TenantQueue>,
     quotas: TenantQuotas,
     lanes: PriorityLanes,
-    turns: Vec<LaneTurn>,
+    /// By lane: the tenant whose turn it is.
+    lane_turns: Vec<LaneTurn>,
     budget: SlotBudget,
-    run_times: Vec<RunTimeEstimate>, // by class
-    served_work: DecayingSum,        // in slot-milliseconds
+    /// Observed running times, by class.
+    run_times: Vec<RunTimeEstimate>,
+    /// Work of recently served attempts, in slot-milliseconds.
+    served_work: DecayingSum,
     jobs: BTreeMap<JobId, Job>,
     job_timers: TimerQueue,
+    /// When to start the watch of the endpoint list; infinite if it is not due.
     poll_at: Millis,
     sweep_at: Millis,
-    timer_at: Millis,          // the driver's timer that was set last
-    no_capacity_until: Millis, // no worker had capacity a moment ago: queued jobs wait until then
+    /// When the timer that was last requested from the caller expires; infinite if none is set.
+    timer_at: Millis,
+    /// Queued jobs are not tried again before this time, as no worker had capacity for them a moment ago.
+    no_capacity_until: Millis,
     peer_loads: PeerLoads,
     key_popularity: KeyPopularity,
-    message_credit: f64, // load messages that attempts have paid for
-    slots_changed: bool, // those in flight, since they were last stated to others
-    kinds: BTreeMap<u32, MachineKind>,
+    /// Load messages that may be sent, counted per receiver. Each started attempt adds to it.
+    message_credit: f64,
+    /// Whether the slots in flight have changed since they were last reported to other schedulers.
+    slots_changed: bool,
+    machine_kinds: BTreeMap<u32, MachineKind>,
     request_ages: RequestAges,
-    expected_run_times: RunTimeEstimate, // of all jobs, before they run
+    /// Expected running time of the arriving jobs of all classes.
+    overall_run_time: RunTimeEstimate,
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows nothing yet.
+    /// Creates a dispatcher with an empty worker list. `seed` determines all its random choices.
     pub fn new(now: Millis, settings: Settings, seed: u64) -> Self {
         let settings = settings.complete();
         let run_time = |class: &Class| RunTimeEstimate::assume(class.latency_objective.max(1.0));
         let lanes = PriorityLanes::new(&settings);
         let objectives: Millis = settings.classes.iter().map(|class| class.latency_objective).sum();
         let mut rng = Rng::with_seed(seed);
-        let poll_delay = POLL_SPREAD * settings.max_poll_interval * rng.f64();
+        let poll_delay = POLL_JITTER * settings.max_poll_interval * rng.f64();
         Dispatcher {
             rng,
             workers: Vec::new(),
@@ -87,7 +112,7 @@
             zones: BTreeMap::new(),
             tenant_queues: tenant_queues(&settings, lanes.count()),
             quotas: TenantQuotas::new(now, &settings),
-            turns: vec![LaneTurn::default(); lanes.count()],
+            lane_turns: vec![LaneTurn::default(); lanes.count()],
             lanes,
             budget: budget::initial_budget(now, &settings),
             run_times: settings.classes.iter().map(run_time).collect(),
@@ -102,14 +127,14 @@
             key_popularity: KeyPopularity::default(),
             message_credit: 0.0,
             slots_changed: false,
-            kinds: BTreeMap::new(),
+            machine_kinds: BTreeMap::new(),
             request_ages: RequestAges::new(settings.classes.len()),
-            expected_run_times: RunTimeEstimate::assume(objectives / settings.classes.len().max(1) as f64),
+            overall_run_time: RunTimeEstimate::assume(objectives / settings.classes.len().max(1) as f64),
             settings,
         }
     }
 
-    /// Takes in an event and appends the actions that follow from it.
+    /// Processes an event that happened at `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Workers { kind, entries } => self.update_workers(now, kind, entries),
@@ -133,7 +158,7 @@
     }
 
     fn handle_timeout(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        // A timer that expires a clock's resolution early is the one that was set.
+        // A rounded clock may report the expiry slightly before `timer_at`.
         if now >= self.timer_at - CLOCK_RESOLUTION {
             self.timer_at = f64::INFINITY;
         }
@@ -156,7 +181,7 @@
         }
     }
 
-    /// Keeps one timer set for whatever is due next.
+    /// Requests a timer if something is due before the timer that is already set.
     fn set_timer(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let retry_at = if self.no_capacity_until > now { self.no_capacity_until } else { f64::INFINITY };
         let next = self.job_timers.next_expiry().min(self.budget.adjust_at).min(self.sweep_at);
@@ -167,7 +192,7 @@
         }
     }
 
-    /// How long a job can wait and still be in time.
+    /// How long a job can wait and still meet its latency objective.
     fn slack(&self, job: &Job) -> Millis {
         self.settings.classes[job.class].slack(job.run_time)
     }
--- a/crates/policy/src/dispatcher/placement.rs
+++ b/crates/policy/src/dispatcher/placement.rs
@@ -1,25 +1,45 @@
-//! Placement: each job goes to the worker of least cost, which is an idle one if there is any.
+//! Placement: each job goes to the worker with the lowest cost, so that idle workers are used first.
 //!
-//! Costs are in milliseconds of expected delay.
+//! Costs are in milliseconds of expected delay. "Running times" in the constants are the typical ones of the
+//! job's class.
+
 use super::*;
 
-const MAX_SCANNED_WORKERS: usize = 96; // for one job, from a random one on
-const SCANNED_NEAR_KEY: f64 = 8.0; // beyond those: about this many of the nearest to the job's affinity key
-const OCCUPIED_SLOT_WAIT: f64 = 0.25; // running times that each slot in flight, or unstarted, counts for
-const FREE_SLOT_GAIN: f64 = 0.01; // running times that each free slot is better by
-const FRESHLY_FREED_GAIN: f64 = 0.2; // running times that a slot freed just now is better by
-const SLOWNESS_WEIGHT: f64 = 0.1; // of the extra running time at a slow worker
-const LATENESS_WEIGHT: f64 = 2.0; // of the part of it that makes a job late
-const SLOWNESS_SLACK: f64 = 0.5; // fraction of the slack that extra running time may take
-const MAX_WAIT: f64 = 0.6; // fraction of the least slack, of the classes that may run at a worker
-const FAULT_COST: f64 = 10.0; // latency objectives that a worker sure to fail counts for
-const DRAIN_COST: f64 = 1.0; // latency objectives that a worker sure to be draining unlisted counts for
-const FETCH_COST: f64 = 2.5; // running times that fetching a key's data counts for: it occupies a slot
-const CACHED_FETCH_FRACTION: f64 = 0.2; // of that cost, where a job of the key was sent lately
-const PREFERRED_MARGIN: f64 = 2.5; // times a key's fraction of the jobs: the fraction of workers it prefers
-const ADMITTED_WAIT: f64 = 0.8; // fraction of the slack that a wait known from aggregated loads may take
+/// Ready workers that are considered for one job, starting at a random one.
+const MAX_SCANNED_WORKERS: usize = 96;
+/// For a job with an affinity key, about this many of the workers nearest to the key are considered as well.
+const SCANNED_NEAR_KEY: f64 = 8.0;
+/// Expected wait, in running times, for each slot in flight where the free slots are not known, and for each
+/// slot whose job has not started.
+const OCCUPIED_SLOT_WAIT: f64 = 0.25;
+/// Cost reduction for each free slot, in running times.
+const FREE_SLOT_BONUS: f64 = 0.01;
+/// Cost reduction, in running times, for a worker that served an attempt just now. It falls to 0 within one
+/// running time.
+const RECENTLY_FREED_BONUS: f64 = 0.2;
+/// Weight of the additional running time at a slow worker.
+const SLOWNESS_WEIGHT: f64 = 0.1;
+/// Weight of the additional running time beyond [`SLOWNESS_SLACK_FRACTION`], which makes the job late.
+const LATENESS_WEIGHT: f64 = 2.0;
+/// Fraction of the slack that the additional running time at a slow worker may use.
+const SLOWNESS_SLACK_FRACTION: f64 = 0.5;
+/// Longest wait at a worker, as a fraction of the smallest slack among the classes that can run there.
+const MAX_WAIT_FRACTION: f64 = 0.6;
+/// Cost of a worker that certainly fails, in latency objectives.
+const FAULT_COST: f64 = 10.0;
+/// Cost of a worker that is certainly draining though not listed so yet, in latency objectives.
+const DRAIN_COST: f64 = 1.0;
+/// Cost of fetching the data of an affinity key, in running times: the fetch occupies a slot.
+const FETCH_COST: f64 = 2.5;
+/// Fraction of the fetch cost that remains at a worker which was recently sent a job of the same key.
+const CACHED_FETCH_FRACTION: f64 = 0.2;
+/// A key prefers a fraction of the workers that is this many times the key's fraction of the jobs.
+const PREFERRED_WORKERS_FACTOR: f64 = 2.5;
+/// Longest wait known from aggregated loads with which a job is sent, as a fraction of its slack.
+const MAX_KNOWN_WAIT_FRACTION: f64 = 0.8;
 
 impl Dispatcher {
+    /// The worker with the lowest cost for a job; `None` if none can take the job now.
     pub(super) fn select_worker(&mut self, now: Millis, id: JobId) -> Option<WorkerId> {
         let job = self.jobs.get(&id)?;
         let (kind, scope) = (self.settings.classes[job.class].kind, self.retry_scope(now, job));
@@ -56,50 +76,56 @@
                 best = Some((cost, wait, worker_id));
             }
         }
-        // Where the slots of all schedulers are known, a job that would wait too long lets others pass.
+        // With aggregated loads the wait is known; a job that would wait too long stays queued, and the jobs
+        // behind it are tried.
         let is_known = self.peer_loads.has_aggregated(now);
-        let max_wait = if is_known { ADMITTED_WAIT * self.slack(&self.jobs[&id]) } else { f64::INFINITY };
+        let max_wait =
+            if is_known { MAX_KNOWN_WAIT_FRACTION * self.slack(&self.jobs[&id]) } else { f64::INFINITY };
         best.filter(|&(_, wait, _)| wait <= max_wait).map(|(_, _, worker)| worker)
     }
 
-    /// Whether a job may be sent to a worker where it is expected to wait so long. Where late answers are
-    /// worth nothing and the worker's slots are known, it must be in time, and let others be.
+    /// Whether a job may be sent to a worker where it is expected to wait this long. If late answers of its
+    /// class are worth nothing and the worker's slots are known (but not by aggregated loads), the job must
+    /// meet its latency objective and leave other jobs time to meet theirs. A job that is already late must
+    /// not wait at all.
     fn admits_wait(&self, now: Millis, worker: &Worker, job: &Job, wait: Millis) -> bool {
         let is_known = self.known_slots(worker) > 0.0 && !self.peer_loads.has_aggregated(now);
         let end = now + wait + self.expected_run_time(now, worker, job);
         match self.settings.classes[job.class].late_weight {
             late_weight if late_weight > 0.0 || !is_known => true,
             _ if job.is_late => wait <= 0.0,
-            _ => end <= job.objective_at && wait <= self.max_wait(worker),
+            _ => end <= job.objective_deadline && wait <= self.max_wait(worker),
         }
     }
 
-    /// How long any job may wait at a worker, so that those of the most urgent class can be in time there.
+    /// How long any job may wait at a worker, so that jobs of the most urgent class can meet their latency
+    /// objective there.
     fn max_wait(&self, worker: &Worker) -> Millis {
-        let run_time = LEAST_RUN_TIME * self.expected_run_times.typical;
+        let run_time = MIN_RUN_TIME_FRACTION * self.overall_run_time.typical;
         let runs_here = |class: &&Class| class.kind.is_none_or(|kind| kind == worker.kind);
         let slacks = self.settings.classes.iter().filter(runs_here).map(|class| class.slack(run_time));
-        MAX_WAIT * slacks.fold(f64::INFINITY, f64::min)
+        MAX_WAIT_FRACTION * slacks.fold(f64::INFINITY, f64::min)
     }
 
-    /// How long a job is expected to wait at a worker; negative at one with free slots.
+    /// How long a job is expected to wait at a worker. The bonuses for free slots and for a recently freed slot
+    /// can make it negative.
     pub(super) fn expected_wait(&self, now: Millis, id: WorkerId, job: &Job) -> f64 {
         let worker = &self.workers[id];
         let typical = self.run_times[job.class].typical;
-        let mean_run_time = self.expected_run_times.typical * worker.relative_run_time(now, &self.settings);
-        let queue = match self.free_slots(now, id, worker) {
-            Some(free) if free >= job.slots => -FREE_SLOT_GAIN * free * typical,
+        let mean_run_time = self.overall_run_time.typical * worker.relative_run_time(now, &self.settings);
+        let queue_wait = match self.free_slots(now, id, worker) {
+            Some(free) if free >= job.slots => -FREE_SLOT_BONUS * free * typical,
             Some(free) => (job.slots - free) / self.known_slots(worker).max(1.0) * mean_run_time,
             None => {
-                let age = now - worker.freed_at;
-                let freshness = FRESHLY_FREED_GAIN * typical * (1.0 - age / typical).max(0.0);
+                let age = now - worker.slot_freed_at;
+                let freed_bonus = RECENTLY_FREED_BONUS * typical * (1.0 - age / typical).max(0.0);
                 let occupied = worker.in_flight_slots + self.peer_loads.remote_slots(id);
-                OCCUPIED_SLOT_WAIT * typical * occupied / worker.size - freshness
+                OCCUPIED_SLOT_WAIT * typical * occupied / worker.size - freed_bonus
             }
         };
         let unstarted = if self.settings.reports_job_start { worker.unstarted_slots } else { 0.0 };
-        let waits = worker.start_wait.value_at(now, typical) + unstarted * OCCUPIED_SLOT_WAIT * typical;
-        queue + waits
+        let start_wait = worker.start_wait.value_at(now, typical) + unstarted * OCCUPIED_SLOT_WAIT * typical;
+        queue_wait + start_wait
     }
 
     /// How long a job is expected to run at a worker.
@@ -107,26 +133,26 @@
         job.run_time * worker.relative_run_time(now, &self.settings)
     }
 
-    /// What sending a job to a worker is expected to cost it, beside the wait.
+    /// The cost of sending a job to a worker, without the expected wait.
     fn placement_cost(&self, now: Millis, worker: &Worker, job: &Job) -> f64 {
         let typical = self.run_times[job.class].typical;
         let objective = self.settings.classes[job.class].latency_objective;
         let zone = self.zones.get(&worker.zone);
         let zone_faults = zone.map_or(0.0, |zone| zone.faults.value_at(now, FaultScore::DECAY_TIME));
         let fault_rate = worker.faults.failure_rate(now) + zone_faults;
-        let distance = self.settings.cross_zone_cost(worker.zone) * objective;
+        let cross_zone = self.settings.cross_zone_cost(worker.zone) * objective;
         let fetch = job.key.map_or(0.0, |key| self.fetch_cost(worker, key, job.key_popularity, typical));
-        let slower = self.expected_run_time(now, worker, job) - job.run_time;
-        let late = (slower - SLOWNESS_SLACK * self.slack(job)).max(0.0);
-        let slower = SLOWNESS_WEIGHT * slower + LATENESS_WEIGHT * late;
+        let extra_run_time = self.expected_run_time(now, worker, job) - job.run_time;
+        let late = (extra_run_time - SLOWNESS_SLACK_FRACTION * self.slack(job)).max(0.0);
+        let slowness_cost = SLOWNESS_WEIGHT * extra_run_time + LATENESS_WEIGHT * late;
         let risk = (FAULT_COST * fault_rate + DRAIN_COST * worker.drain_probability) * objective;
-        slower + risk + distance + fetch
+        slowness_cost + risk + cross_zone + fetch
     }
 
-    /// What fetching the data of a key costs at a worker: nothing at its preferred workers, of which a
-    /// popular key has many, and more the further the worker is from them.
+    /// The cost of fetching the data of a key at a worker: zero at the key's preferred workers, of which a
+    /// popular key has more, and rising with the worker's rendezvous distance beyond them.
     fn fetch_cost(&self, worker: &Worker, key: u64, popularity: f64, run_time: Millis) -> f64 {
-        let preferred = popularity * PREFERRED_MARGIN;
+        let preferred = popularity * PREFERRED_WORKERS_FACTOR;
         let beyond = (rendezvous_distance(key, worker.name_hash) - preferred).max(0.0);
         let rank = self.ready.ids.len() as f64 * beyond;
         let is_cached = worker.recent_keys.contains(&key);
--- a/crates/policy/src/dispatcher/queues.rs
+++ b/crates/policy/src/dispatcher/queues.rs
@@ -1,14 +1,21 @@
-//! The tenants' queues, and deficit round-robin (Shreedhar and Varghese, 1995). A queued job is in one lane
-//! of its tenant, and has no attempt in flight.
+//! Per-tenant job queues, served by deficit round-robin (Shreedhar and Varghese, 1995). A queued job is in
+//! exactly one priority lane of its tenant and has no attempt in flight.
+
 use super::*;
 
-const MAX_QUEUE_TIME: f64 = 0.4; // fraction of the slack: a job that waits longer starts too late
-const CAPACITY_RETRY_INTERVAL: Millis = 5.0; // before jobs that no worker could take are tried again
-const MAX_SKIPPED_JOBS: usize = 4; // of a tenant, that no worker can take now, in one turn
-const MAX_IDLE_ROUNDS: usize = 8; // rounds of all tenants without a start
-const MAX_CREDIT_TURNS: f64 = 8.0; // turns whose credit a tenant can save up
+/// Fraction of its slack that a job may spend in the queue; a job that waits longer starts too late.
+const MAX_QUEUE_TIME_FRACTION: f64 = 0.4;
+/// Time until jobs that no worker had capacity for are tried again.
+const CAPACITY_RETRY_INTERVAL: Millis = 5.0;
+/// A tenant's turn ends after this many jobs that no worker can take now.
+const MAX_SKIPPED_JOBS: usize = 4;
+/// Rounds over all tenants without a started attempt after which dispatch ends, even if a tenant is still
+/// saving credit for its next job.
+const MAX_IDLE_ROUNDS: usize = 8;
+/// A tenant can accumulate the credit of at most this many turns.
+const MAX_CREDIT_TURNS: f64 = 8.0;
 
-/// How a tenant's turn ended.
+/// Result of a tenant's turn.
 enum Turn {
     Done { has_started: bool, lacks_credit: bool },
     BudgetExhausted,
@@ -19,20 +26,20 @@
         let id = new.id;
         let job = self.new_job(now, new);
         let Job { tenant, lane, .. } = job;
-        // The last job of the least weight in a full queue gives way to one of a greater weight.
+        // A job that arrives at a full queue evicts the last job of the lowest weight, if its own is higher.
         let queue = &self.tenant_queues[tenant];
         let is_full = queue.depth() >= queue.max_depth;
-        let displaced = queue.last_below(lane).filter(|_| is_full);
+        let evicted = queue.last_below(lane).filter(|_| is_full);
         self.job_timers.push(job.queue_deadline, id);
-        self.expected_run_times.observe(job.run_time, RUN_TIME_WEIGHT, 1.0);
+        self.overall_run_time.observe(job.run_time, RUN_TIME_WEIGHT, 1.0);
         if job.is_within_quota {
             self.record_quota_work(now, self.run_times[job.class].shortest * job.slots);
         }
         self.jobs.insert(id, job);
-        if let Some(displaced) = displaced {
-            self.reject_or_fail(displaced, actions);
+        if let Some(evicted) = evicted {
+            self.reject_or_fail(evicted, actions);
         }
-        let fits = !is_full || displaced.is_some();
+        let fits = !is_full || evicted.is_some();
         if fits && self.retry_scope(now, &self.jobs[&id]) != RetryScope::Nowhere {
             self.tenant_queues[tenant].lanes[lane].jobs.push_back(id);
             self.jobs.entry(id).and_modify(|job| job.queued = true);
@@ -45,7 +52,7 @@
         let class = new.class.min(self.settings.classes.len() - 1);
         let tenant = new.tenant.min(self.tenant_queues.len() - 1);
         let key = new.affinity_key.as_deref().map(hash);
-        let prior = new.prior_execution.map(|prior| Attempt::of_earlier_scheduler(now, prior));
+        let prior = new.prior_execution.map(|prior| Attempt::from_prior_execution(now, prior));
         let hint = new.expected_run_time.filter(|hint| hint.is_finite() && *hint > 0.0);
         let mut job = Job {
             class,
@@ -59,19 +66,19 @@
             attempts: prior.into_iter().collect(),
             ..Job::default()
         };
-        // A client's retry is to be answered by the objective of its first request.
+        // The latency objective of a retried request counts from the client's first request.
         let first_requested_at = now - self.request_ages.observe(class, new.time_left);
-        job.objective_at = first_requested_at + job.run_time + self.slack(&job);
-        job.is_late = now + LEAST_RUN_TIME * job.run_time > job.objective_at;
+        job.objective_deadline = first_requested_at + job.run_time + self.slack(&job);
+        job.is_late = now + MIN_RUN_TIME_FRACTION * job.run_time > job.objective_deadline;
         job.lane = self.lanes.lane(self.settings.weight(class, job.is_within_quota, job.is_late));
-        let queue_deadline = now + MAX_QUEUE_TIME * self.slack(&job);
+        let queue_deadline = now + MAX_QUEUE_TIME_FRACTION * self.slack(&job);
         job.queue_deadline = queue_deadline.min(job.deadline - DEADLINE_MARGIN);
         job
     }
 
-    /// Starts attempts of queued jobs while the budget allows, those of the greatest weight first.
+    /// Starts attempts of queued jobs while the budget allows, in descending order of the jobs' weights.
     pub(super) fn dispatch_queued_jobs(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        // Workers that had no capacity a moment ago have none now; a look for each event costs too much.
+        // If no worker had capacity a moment ago, a new search for every event would cost too much.
         if now < self.no_capacity_until {
             return;
         }
@@ -86,13 +93,13 @@
         let has_jobs = |queue: &TenantQueue| !queue.lanes[lane].jobs.is_empty();
         let (mut idle_turns, mut max_idle_turns) = (0, tenants);
         while idle_turns < max_idle_turns && self.tenant_queues.iter().any(has_jobs) {
-            let LaneTurn { tenant, is_credited } = self.turns[lane];
+            let LaneTurn { tenant, is_credited } = self.lane_turns[lane];
             let queue = &mut self.tenant_queues[tenant];
             let credit = queue.weight / min_weight;
             if !is_credited {
                 queue.lanes[lane].credit += credit;
             }
-            self.turns[lane].is_credited = true;
+            self.lane_turns[lane].is_credited = true;
             match self.dispatch_turn(now, lane, tenant, actions) {
                 Turn::BudgetExhausted => return,
                 Turn::Done { has_started: true, .. } => (idle_turns, max_idle_turns) = (1, tenants),
@@ -106,11 +113,11 @@
             let queue = &mut self.tenant_queues[tenant].lanes[lane];
             let credit_left = if queue.jobs.is_empty() { 0.0 } else { queue.credit };
             queue.credit = credit_left.min(MAX_CREDIT_TURNS * credit);
-            self.turns[lane] = LaneTurn { tenant: (tenant + 1) % tenants, is_credited: false };
+            self.lane_turns[lane] = LaneTurn { tenant: (tenant + 1) % tenants, is_credited: false };
         }
     }
 
-    /// Starts attempts of a tenant's jobs as far as its credit allows.
+    /// Starts attempts of a tenant's jobs of one lane while its credit and the budget allow.
     fn dispatch_turn(&mut self, now: Millis, lane: usize, tenant: usize, actions: &mut Vec<Action>) -> Turn {
         let (mut has_started, mut lacks_credit) = (false, false);
         let mut skipped = 0;
@@ -118,16 +125,16 @@
             let queue = &self.tenant_queues[tenant].lanes[lane];
             let Some(&id) = queue.jobs.get(skipped) else { break };
             let Some(job) = self.jobs.get(&id) else { break };
-            let (slots, is_discounted) = (job.slots, job.is_discounted());
+            let (slots, has_reduced_weight) = (job.slots, job.has_reduced_weight());
             if queue.credit < slots {
                 lacks_credit = true;
                 break;
             }
-            if !self.budget_admits(slots, is_discounted) {
-                self.budget.held_back |= !is_discounted;
+            if !self.budget_admits(slots, has_reduced_weight) {
+                self.budget.held_back |= !has_reduced_weight;
                 return Turn::BudgetExhausted;
             }
-            // A job that no worker can take now must not hold up the ones behind it.
+            // A job that no worker can take now must not block the jobs behind it.
             let Some(worker) = self.select_worker(now, id) else {
                 skipped += 1;
                 continue;
--- a/crates/policy/src/job.rs
+++ b/crates/policy/src/job.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher remembers of a job and its attempts. Nothing is decided here.
+//! The state of a job and its attempts. The decisions on them are made in the dispatcher.
 
 use crate::event::{Outcome, PriorExecution};
 use crate::units::{Millis, WorkerId};
@@ -8,62 +8,65 @@
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
     pub(crate) sent_at: Millis,
-    /// When its worker reported that it started to run.
+    /// When its worker reported that the job started; `None` if it has not.
     pub(crate) started_at: Option<Millis>,
-    /// How long it was expected to wait there, and to take on a standard core with the worker's present capacity.
+    /// Expected wait at the worker; 0 if workers report when a job starts.
     pub(crate) expected_wait: Millis,
+    /// Expected time until it ends: the wait, and the running time on a standard core with the worker's
+    /// current fraction of its capacity.
     pub(crate) expected_duration: Millis,
     pub(crate) in_flight: bool,
-    /// It ended, and may have run.
+    /// Whether it has ended and may have run.
     pub(crate) may_have_run: bool,
-    /// It has counted as slow for its worker before its end.
+    /// Whether it was recorded as slow for its worker before its end.
     pub(crate) is_overdue: bool,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// An attempt that is sent at `now`.
     pub(crate) fn start(now: Millis, worker: WorkerId) -> Self {
         Attempt { worker, sent_at: now, in_flight: true, ..Attempt::default() }
     }
 
-    /// An attempt of an earlier scheduler, which counts as ended.
-    pub(crate) fn of_earlier_scheduler(now: Millis, prior: PriorExecution) -> Self {
+    /// An attempt that another scheduler started. It counts as ended.
+    pub(crate) fn from_prior_execution(now: Millis, prior: PriorExecution) -> Self {
         let PriorExecution { worker, age } = prior;
         Attempt { worker, sent_at: now - age, may_have_run: true, ..Attempt::default() }
     }
 
-    /// It ends by this outcome.
+    /// Marks the attempt as ended.
     pub(crate) fn end(&mut self, outcome: Outcome) {
         self.in_flight = false;
         self.may_have_run = !outcome.never_ran();
     }
 }
 
-/// A job that has not ended, or has an attempt in flight.
+/// A job that has no final answer yet, or still has an attempt in flight.
 #[derive(Default)]
 pub(crate) struct Job {
     pub(crate) class: usize,
     pub(crate) tenant: usize,
-    /// The queue of its tenant that it belongs to.
+    /// Index of its priority lane in its tenant's queue.
     pub(crate) lane: usize,
     pub(crate) is_within_quota: bool,
-    /// It can't be answered by its objective any more.
+    /// Whether it could no longer meet its latency objective when it arrived.
     pub(crate) is_late: bool,
     /// The hash of its affinity key.
     pub(crate) key: Option<u64>,
     /// The fraction of all jobs that have this key.
     pub(crate) key_popularity: f64,
-    /// An answer until then earns the full weight.
-    pub(crate) objective_at: Millis,
+    /// An answer until this time meets the latency objective and earns the full weight.
+    pub(crate) objective_deadline: Millis,
+    /// When the client stops waiting.
     pub(crate) deadline: Millis,
-    /// Until when it may wait for an attempt.
+    /// Until when it may wait in the queue.
     pub(crate) queue_deadline: Millis,
     pub(crate) slots: f64,
-    /// Its expected running time on a standard core: its client's hint, or else what is typical of its class.
+    /// Expected running time on a standard core: the client's hint, or else the typical one of its class.
     pub(crate) run_time: Millis,
     pub(crate) queued: bool,
     pub(crate) answered: bool,
-    /// Its streamed answer has begun.
+    /// Whether its streamed response has begun.
     pub(crate) streaming: bool,
     pub(crate) attempts: Vec<Attempt>,
 }
@@ -79,18 +82,17 @@
         self.attempts.get_mut(number).filter(|attempt| attempt.in_flight)
     }
 
-    /// It waits for a further attempt, until this deadline.
+    /// Marks the job as queued for another attempt, until this deadline.
     pub(crate) fn requeue(&mut self, queue_deadline: Millis) {
         self.queued = true;
         self.queue_deadline = queue_deadline;
     }
 
-    /// Whether its answer earns less than the full weight.
-    pub(crate) fn is_discounted(&self) -> bool {
+    /// Whether an answer earns less than the full weight, as the job is over its tenant's quota or late.
+    pub(crate) fn has_reduced_weight(&self) -> bool {
         !self.is_within_quota || self.is_late
     }
 
-    /// Whether an attempt of it is in flight.
     pub(crate) fn has_attempt_in_flight(&self) -> bool {
         self.in_flight().next().is_some()
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,19 +1,23 @@
-//! The decision module of a scheduler that pushes jobs to workers: which job is sent to which worker when, and which is
-//! retried, rejected or failed.
+//! The scheduling logic of a scheduler that pushes jobs to workers. It decides when each job is sent to which
+//! worker, and which jobs are retried, rejected or failed.
 //!
-//! **Invariant.** Each job gets exactly one final answer, unless its client disconnects first. The same settings, seed,
-//! events and times give the same actions.
+//! **Invariant.** Each job gets exactly one final answer, unless its client disconnects first. The same
+//! settings, seed, events and times give the same actions.
 //!
-//! No I/O, no clock: [`Dispatcher::handle`] is told what happened and when, and appends the [`Action`]s to carry out.
+//! The crate does no I/O and reads no clock: [`Dispatcher::handle`] takes an [`Event`] with its time, and
+//! appends the [`Action`]s that the caller has to carry out.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`dispatcher`] | every decision; its files are counted, see `deploy/balancer.toml` |
-//! | [`settings`] | what a dispatcher is told at its start, and the document that this is read from |
-//! | `event`, `action`, `worker_list`, `units` | what goes in and what comes out |
-//! | `job`, `worker`, `ready_workers`, `slot_budget`, `tenant_queues`, `timer_queue` | state without decisions |
-//! | [`measure`], `key_popularity`, `tenant_quotas` | what is measured: rates, running times, faults, popularity of keys |
-//! | `peers`, [`symbols`] | the loads of other schedulers, and the text of messages |
+//! | [`dispatcher`] | all decisions; its files are listed in `deploy/balancer.toml` |
+//! | [`settings`] | the settings of a dispatcher, and the document that they are read from |
+//! | `event`, `action`, `worker_list`, `units` | input and output types |
+//! | `job`, `worker`, `ready_workers`, `slot_budget`, `tenant_queues`, `timer_queue` | state |
+//! | `retry_scope` | the workers that a job may be sent to after an attempt that may have run |
+//! | `request_ages` | time since a client first sent a request that it retries |
+//! | [`measure`], `token_bucket` | moving estimates of rates, running times and faults; rate limits |
+//! | `key_popularity`, `tenant_quotas` | popularity of affinity keys, and jobs within the tenants' quotas |
+//! | `peers`, [`symbols`] | loads of the other schedulers, and the encoding of load messages |
 //! | [`hashing`] | hashes that are the same at every scheduler |
 //!
 //! ```
--- a/crates/policy/src/ready_workers.rs
+++ b/crates/policy/src/ready_workers.rs
@@ -1,19 +1,19 @@
-//! The workers that take new jobs.
+//! The set of workers that take new jobs.
 
 use crate::units::WorkerId;
 
-/// The ready workers in the order of their ids, and their names' hashes beside them. Both vectors have the same length,
-/// and the cost of a change does not depend on the other workers' state.
+/// The ready workers, sorted by id, with the hashes of their names. Both vectors have the same length. The
+/// cost of a change does not depend on the state of the other workers.
 #[derive(Default)]
 pub(crate) struct ReadyWorkers {
-    /// Their ids, ascending.
+    /// Ascending.
     pub(crate) ids: Vec<WorkerId>,
-    /// Their names' hashes, in the same order.
+    /// In the order of `ids`.
     pub(crate) name_hashes: Vec<u64>,
 }
 
 impl ReadyWorkers {
-    /// Adds or removes a worker.
+    /// Adds a worker if it is ready, removes it otherwise.
     pub(crate) fn set(&mut self, id: WorkerId, name_hash: u64, ready: bool) {
         match (self.ids.binary_search(&id), ready) {
             (Ok(index), true) => self.name_hashes[index] = name_hash,
--- a/crates/policy/src/retry_scope.rs
+++ b/crates/policy/src/retry_scope.rs
@@ -1,23 +1,23 @@
-//! Where a job may be sent, after attempts that may have run.
+//! The workers that a job may be sent to after attempts that may have run.
 
 use crate::job::Attempt;
 use crate::settings::{Class, DeduplicationScope, Effect};
 use crate::units::{Millis, WorkerId};
 use crate::worker::Worker;
 
-/// The workers to which a job may be sent.
+/// The workers that a job may be sent to.
 #[derive(Clone, Copy, PartialEq)]
 pub(crate) enum RetryScope {
     Anywhere,
-    /// The workers in this one's zone; none if it is not known.
+    /// The workers in the zone of this worker; none if this worker is unknown.
     ZoneOf(WorkerId),
-    /// The workers in this one's cell; none if it is not known.
+    /// The workers in the cell of this worker; none if this worker is unknown.
     CellOf(WorkerId),
     Nowhere,
 }
 
 impl RetryScope {
-    /// The scope of a job whose first attempt that may have run, or may still run, is this one.
+    /// The scope of a job, given its first attempt that may have run or may still run, if there is one.
     pub(crate) fn after(now: Millis, class: &Class, first: Option<&Attempt>) -> RetryScope {
         let Some(first) = first else { return RetryScope::Anywhere };
         let is_past_window = now >= first.sent_at + class.deduplication_window;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Whether it contains this worker.
+    /// Whether the scope contains `worker`, which is one of `workers`.
     pub(crate) fn allows(self, worker: &Worker, workers: &[Worker]) -> bool {
         match self {
             RetryScope::Anywhere => true,
--- a/crates/policy/src/worker_list.rs
+++ b/crates/policy/src/worker_list.rs
@@ -1,16 +1,16 @@
-//! What a dispatcher is told of the workers that exist.
+//! The worker list that a dispatcher receives from discovery.
 
 use crate::units::{Millis, WorkerId};
 
 /// Whether a worker takes new jobs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// It takes new jobs.
+    /// The worker takes new jobs.
     #[default]
     Ready,
-    /// It finishes the jobs that it has and is sent no new ones.
+    /// The worker finishes its jobs and is sent no new ones.
     Draining,
-    /// It is gone.
+    /// The worker has stopped or is no longer listed.
     Gone,
 }
 
@@ -19,33 +19,33 @@
 pub struct WorkerEntry {
     /// The worker's id.
     pub id: WorkerId,
-    /// Its name, the same at every scheduler.
+    /// The worker's name, which is the same at every scheduler.
     pub name: String,
-    /// Its zone.
+    /// The number of its zone.
     pub zone: u32,
-    /// Its machine kind.
+    /// The number of its machine kind.
     pub kind: u32,
-    /// Its cell.
+    /// The number of its cell.
     pub cell: u32,
     /// Whether it takes new jobs.
     pub readiness: Readiness,
-    /// A figure for comparing it with others; see [`Weights`](crate::Weights).
+    /// Its weight relative to other workers; [`Weights`](crate::Weights) gives the meaning.
     pub weight: f64,
-    /// When it last started; `None`: long ago.
+    /// When it last started; `None` if that was long ago.
     pub started_at: Option<Millis>,
-    /// How likely it is that it is draining and this is not known yet, 0 to 1. Other workers are preferred to it.
+    /// Probability, 0 to 1, that it is draining though not listed so yet. Other workers are preferred to it.
     pub drain_probability: f64,
 }
 
-/// What a list event contains.
+/// What an update of the worker list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The complete list as it was before a restart, maybe out of date.
+    /// The complete list as it was before a restart; it may be outdated.
     Cached,
-    /// The complete list; a worker that is missing in it is gone.
+    /// The complete list; a worker that is missing from it is gone.
     Full,
-    /// The changed entries alone.
+    /// Only the changed entries.
     Delta,
-    /// A poll of the list failed, or the watch ended.
+    /// No entries: a poll of the list failed, or the watch ended.
     Failed,
 }
