--- a/crates/policy/src/dispatcher/placement.rs
+++ b/crates/policy/src/dispatcher/placement.rs
@@ -107,8 +107,8 @@
         MAX_WAIT_FRACTION * slacks.fold(f64::INFINITY, f64::min)
     }
 
-    /// How long a job is expected to wait at a worker. The bonuses for free slots and for a recently freed slot
-    /// can make it negative.
+    /// How long a job is expected to wait at a worker. The bonuses for free slots and for a recently freed
+    /// slot can make it negative.
     pub(super) fn expected_wait(&self, now: Millis, id: WorkerId, job: &Job) -> f64 {
         let worker = &self.workers[id];
         let typical = self.run_times[job.class].typical;
--- a/crates/policy/tests/answers.rs
+++ b/crates/policy/tests/answers.rs
@@ -35,17 +35,18 @@
 
 #[test]
 fn a_timer_that_expires_early_by_a_rounded_clock_is_set_again() {
-    // The simulator rounds times to microseconds; a timer taken for a stale one was never set again.
+    // The simulator rounds times to microseconds, so that a timer can expire slightly early. A dispatcher
+    // that takes it for an outdated timer never sets the next one.
     let (mut now, mut actions) = (1_000_000.0, Vec::new());
     let mut dispatcher = Dispatcher::new(now, settings(), 9);
     let job = NewJob { id: 1, class: NON_IDEMPOTENT, time_left: 400.0003, slots: 1.0, ..NewJob::default() };
     dispatcher.handle(now, Event::Job(job), &mut actions);
     for _ in 0..40 {
-        let mut wake = actions.iter().filter_map(|a| match a {
+        let mut timers = actions.iter().filter_map(|action| match action {
             Action::SetTimer { after } => Some(*after),
             _ => None,
         });
-        let Some(after) = wake.next_back() else { break };
+        let Some(after) = timers.next_back() else { break };
         actions.retain(|action| !matches!(action, Action::SetTimer { .. }));
         now = ((now + after) * 1_000.0).floor() / 1_000.0;
         dispatcher.handle(now, Event::Timer, &mut actions);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,10 @@
-//! Drives one dispatcher by hand and checks the four rules on every action that it gives.
+//! Drives one dispatcher event by event, and checks four rules on its actions:
+//!
+//! 1. Each job gets exactly one final answer, at the latest at its deadline plus the answer slack.
+//! 2. No attempt starts, and no job is rejected, where this could lead to an execution that the job's class
+//!    forbids.
+//! 3. No job is sent to a worker past the drain grace.
+//! 4. The settings' limits on attempts, hedged requests and cancellation are kept.
 #![allow(dead_code, missing_docs)]
 
 use brackenledge_policy::{
@@ -27,10 +33,13 @@
     pub now: Millis,
     pub jobs: BTreeMap<JobId, Job>,
     pub workers: BTreeMap<WorkerId, WorkerEntry>,
-    pub stop_at: BTreeMap<WorkerId, Millis>,
+    /// Until when a worker that is draining or gone may still be sent jobs.
+    pub no_jobs_after: BTreeMap<WorkerId, Millis>,
+    /// When the timers expire.
     pub timers: Vec<Millis>,
     pub rejected: Vec<JobId>,
     pub failed: Vec<JobId>,
+    /// How often a watch of the endpoint list was requested.
     pub watches: usize,
     pub cancelled: Vec<(JobId, usize)>,
     pub health_checks: Vec<(Millis, WorkerId)>,
@@ -98,7 +107,7 @@
             now,
             jobs: BTreeMap::new(),
             workers: BTreeMap::new(),
-            stop_at: BTreeMap::new(),
+            no_jobs_after: BTreeMap::new(),
             timers: Vec::new(),
             rejected: Vec::new(),
             failed: Vec::new(),
@@ -109,18 +118,18 @@
         }
     }
 
-    /// A list event, and until when the workers in it may be sent jobs.
+    /// Updates the worker list, and records until when workers that are not ready may be sent jobs.
     pub fn list(&mut self, kind: ListKind, entries: Vec<WorkerEntry>) {
         if kind == ListKind::Full {
             for id in self.workers.keys() {
-                self.stop_at.entry(*id).or_insert(self.now + self.settings.drain_grace);
+                self.no_jobs_after.entry(*id).or_insert(self.now + self.settings.drain_grace);
             }
         }
         for entry in &entries {
             if entry.readiness == Readiness::Ready {
-                self.stop_at.remove(&entry.id);
+                self.no_jobs_after.remove(&entry.id);
             } else {
-                self.stop_at.entry(entry.id).or_insert(self.now + self.settings.drain_grace);
+                self.no_jobs_after.entry(entry.id).or_insert(self.now + self.settings.drain_grace);
             }
             self.workers.insert(entry.id, entry.clone());
         }
@@ -128,11 +137,11 @@
     }
 
     pub fn job(&mut self, class: usize) -> JobId {
-        let left = self.settings.classes[class].deadline;
-        self.job_with(NewJob { class, time_left: left, slots: 1.0, ..NewJob::default() })
+        let time_left = self.settings.classes[class].deadline;
+        self.job_with(NewJob { class, time_left, slots: 1.0, ..NewJob::default() })
     }
 
-    /// A job of this class and affinity key, with all its time left.
+    /// Submits a job of this class and affinity key, with the full deadline of its class.
     pub fn job_with_key(&mut self, class: usize, key: &str) -> JobId {
         let time_left = self.settings.classes[class].deadline;
         let affinity_key = Some(key.to_owned());
@@ -149,12 +158,12 @@
         id
     }
 
-    /// Ends an attempt; a first `Served` is the job's final answer.
+    /// Ends an attempt. The first `Served` outcome is the job's final answer.
     pub fn end_attempt(&mut self, id: JobId, attempt: usize, outcome: Outcome) {
         let now = self.now;
         let job = self.jobs.get_mut(&id).expect("a known job");
         let state = &mut job.attempts[attempt];
-        assert!(std::mem::take(&mut state.in_flight), "attempt {attempt} of job {id} ends once");
+        assert!(std::mem::take(&mut state.in_flight), "attempt {attempt} of job {id} has already ended");
         state.may_have_run = !outcome.never_ran();
         if outcome == Outcome::Served && job.answered.is_none() {
             job.answered = Some(now);
@@ -169,10 +178,10 @@
         }));
     }
 
-    /// Serves every attempt that was sent at least this long ago.
-    pub fn serve_after(&mut self, run: Millis) {
+    /// Ends every attempt that was sent at least `run_time` ago as served.
+    pub fn serve_after(&mut self, run_time: Millis) {
         for (id, attempt) in self.in_flight() {
-            if self.jobs[&id].attempts[attempt].sent_at + run <= self.now {
+            if self.jobs[&id].attempts[attempt].sent_at + run_time <= self.now {
                 self.end_attempt(id, attempt, Outcome::Served);
             }
         }
@@ -188,16 +197,20 @@
         self.event(Event::ClientDisconnected { job: id });
     }
 
-    /// Moves the clock; timers expire, and attempts time out at their clients' deadlines.
+    /// Advances the clock. Timers expire, and attempts time out at their clients' deadlines.
     pub fn advance(&mut self, by: Millis) {
         let until = self.now + by;
         loop {
             let timer = self.timers.iter().copied().fold(f64::INFINITY, f64::min);
-            let late = |(id, job): (&JobId, &Job)| {
-                let out = job.attempts.iter().position(|a| a.in_flight)?;
-                (job.deadline > self.now - 1e-9 && job.answered.is_none()).then_some((job.deadline, *id, out))
+            let deadline = |(id, job): (&JobId, &Job)| {
+                let number = job.attempts.iter().position(|a| a.in_flight)?;
+                (job.deadline > self.now - 1e-9 && job.answered.is_none()).then_some((
+                    job.deadline,
+                    *id,
+                    number,
+                ))
             };
-            let timeout = self.jobs.iter().filter_map(late).min_by(|a, b| a.0.total_cmp(&b.0));
+            let timeout = self.jobs.iter().filter_map(deadline).min_by(|a, b| a.0.total_cmp(&b.0));
             let next = timer.min(timeout.map_or(f64::INFINITY, |t| t.0));
             if next > until {
                 break;
@@ -206,8 +219,8 @@
             if let Some((_, id, attempt)) = timeout.filter(|t| t.0 <= timer) {
                 self.end_attempt(id, attempt, Outcome::Timeout);
             } else {
-                let place = self.timers.iter().position(|&at| at == timer).expect("the timer");
-                self.timers.swap_remove(place);
+                let index = self.timers.iter().position(|&at| at == timer).expect("the timer");
+                self.timers.swap_remove(index);
                 self.event(Event::Timer);
             }
         }
@@ -215,7 +228,7 @@
         self.check_answers();
     }
 
-    /// Rule 1: nobody waits past the deadline and its slack.
+    /// Rule 1: each job has a final answer by its deadline plus the answer slack.
     pub fn check_answers(&self) {
         for (id, job) in &self.jobs {
             let latest = job.deadline + self.settings.answer_slack;
@@ -235,25 +248,28 @@
         let now = self.now;
         match action {
             Action::StartAttempt { job: id, worker, .. } => {
-                let stop = self.stop_at.get(&worker).copied().unwrap_or(f64::INFINITY);
-                assert!(now <= stop, "job {id} sent to worker {worker} past the drain grace");
+                let send_until = self.no_jobs_after.get(&worker).copied().unwrap_or(f64::INFINITY);
+                assert!(now <= send_until, "job {id} sent to worker {worker} past the drain grace");
                 let job = &self.jobs[&id];
-                assert!(job.answered.is_none(), "job {id} sent after its final answer");
-                assert!(job.attempts.len() < self.settings.max_attempts, "job {id}: too many attempts");
-                let copies = self.settings.hedged_requests || !job.attempts.iter().any(|a| a.in_flight);
-                assert!(copies, "job {id} has two attempts out");
-                assert!(self.may_send(job, worker), "job {id} sent where it may run twice");
+                assert!(job.answered.is_none(), "attempt of job {id} started after its final answer");
+                assert!(
+                    job.attempts.len() < self.settings.max_attempts,
+                    "job {id}: more attempts than max_attempts"
+                );
+                let may_start = self.settings.hedged_requests || !job.attempts.iter().any(|a| a.in_flight);
+                assert!(may_start, "job {id} has two attempts in flight without hedged requests");
+                assert!(self.may_send(job, worker), "job {id} sent to a worker where it may run twice");
                 let attempt = Attempt { worker, sent_at: now, in_flight: true, may_have_run: false };
                 self.jobs.get_mut(&id).expect("a known job").attempts.push(attempt);
             }
             Action::Reject { job: id, .. } => {
                 let job = &self.jobs[&id];
                 let class = &self.settings.classes[job.class];
-                let free = class.effect == Effect::Repeatable
+                let is_retry_safe = class.effect == Effect::Repeatable
                     || class.effect == Effect::Idempotent
                         && class.deduplication_scope == DeduplicationScope::All;
-                let risk = job.attempts.iter().any(|a| a.in_flight || a.may_have_run);
-                assert!(free || !risk, "job {id} rejected though it may have run");
+                let may_have_run = job.attempts.iter().any(|a| a.in_flight || a.may_have_run);
+                assert!(is_retry_safe || !may_have_run, "job {id} rejected although it may have run");
                 self.rejected.push(id);
                 self.answer(id);
             }
@@ -262,14 +278,17 @@
                 self.answer(id);
             }
             Action::SetTimer { after } => {
-                assert!(after >= 0.0, "a timer in the past");
+                assert!(after >= 0.0, "timer set in the past");
                 self.timers.push(now + after);
             }
             Action::WatchEndpoints { .. } => self.watches += 1,
             Action::HealthCheck { worker } => self.health_checks.push((now, worker)),
             Action::CancelAttempt { job, attempt } => {
-                assert!(self.settings.cancellation, "cancelling is not allowed");
-                assert!(self.jobs[&job].attempts.len() > attempt, "cancelled what was never sent");
+                assert!(self.settings.cancellation, "attempt cancelled although cancellation is off");
+                assert!(
+                    self.jobs[&job].attempts.len() > attempt,
+                    "cancelled an attempt that was never started"
+                );
                 self.cancelled.push((job, attempt));
             }
             _ => {}
@@ -282,19 +301,19 @@
         job.answered = Some(self.now);
     }
 
-    /// Rule 2, for a further attempt at `to`.
+    /// Rule 2: whether another attempt may start at `to`.
     fn may_send(&self, job: &Job, to: WorkerId) -> bool {
         let class = &self.settings.classes[job.class];
         let Some(first) = job.attempts.iter().find(|a| a.in_flight || a.may_have_run) else { return true };
         let (from, to) = (&self.workers[&first.worker], &self.workers[&to]);
-        let in_group = match class.deduplication_scope {
+        let in_scope = match class.deduplication_scope {
             DeduplicationScope::All => true,
             DeduplicationScope::Zone => from.zone == to.zone,
             DeduplicationScope::Cell => from.cell == to.cell,
         };
         match class.effect {
             Effect::Repeatable => true,
-            Effect::Idempotent => in_group && self.now <= first.sent_at + class.deduplication_window,
+            Effect::Idempotent => in_scope && self.now <= first.sent_at + class.deduplication_window,
             Effect::NonIdempotent => false,
         }
     }
@@ -303,12 +322,12 @@
         self.jobs[&id].attempts.iter().map(|attempt| attempt.worker).collect()
     }
 
-    /// Attempts in flight, as (job, attempt).
+    /// The attempts in flight, as pairs of job and attempt number.
     pub fn in_flight(&self) -> Vec<(JobId, usize)> {
-        let of = |(&id, job): (&JobId, &Job)| -> Vec<(JobId, usize)> {
-            let out = job.attempts.iter().enumerate().filter(|(_, a)| a.in_flight);
-            out.map(|(number, _)| (id, number)).collect()
+        let of_job = |(&id, job): (&JobId, &Job)| -> Vec<(JobId, usize)> {
+            let in_flight = job.attempts.iter().enumerate().filter(|(_, a)| a.in_flight);
+            in_flight.map(|(number, _)| (id, number)).collect()
         };
-        self.jobs.iter().flat_map(of).collect()
+        self.jobs.iter().flat_map(of_job).collect()
     }
 }
--- a/crates/policy/tests/placement.rs
+++ b/crates/policy/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement: idle workers, the loads of others, and the affinity of keys.
+//! Placement of jobs: idle workers first, loads of other schedulers, and key affinity.
 #![allow(missing_docs)]
 
 mod common;
@@ -18,9 +18,9 @@
     assert_eq!(used.len(), 3, "three jobs on three workers");
 }
 
-/// Whether the loads of one other scheduler take precedence over an old report, where there are this many schedulers, of
-/// which this many are active.
-fn goes_by_one_peers_loads(schedulers: u32, active: Option<u32>) -> bool {
+/// Whether the load message of one other scheduler takes precedence over an older load report. `schedulers`:
+/// the configured number; `active`: the number of active ones, if an event reports it.
+fn loads_of_one_peer_override_report(schedulers: u32, active: Option<u32>) -> bool {
     let mut driver = Driver::new(Settings { schedulers, peer_messages: true, ..settings() }, 2, 2);
     let report = |worker, free, in_flight| Event::HealthChecked {
         worker,
@@ -37,7 +37,7 @@
     let used = driver.workers_of(first)[0];
     let other = 1 - used;
     driver.event(report(other, 0.0, 3.0));
-    // By the report the other scheduler occupies all slots of that worker; by its own message it occupies none.
+    // By the report the other scheduler occupies all slots of this worker; by its own message, none.
     driver.event(Event::PeerMessage { from: 1, text: "0".into() });
     let second = driver.job(REPEATABLE);
     driver.workers_of(second) == [other]
@@ -45,16 +45,16 @@
 
 #[test]
 fn the_loads_of_all_peers_take_precedence_over_an_old_report() {
-    assert!(goes_by_one_peers_loads(2, None));
+    assert!(loads_of_one_peer_override_report(2, None));
 }
 
 #[test]
-fn only_active_schedulers_need_to_have_stated_their_loads() {
-    // One of three is gone, and states nothing more.
-    assert!(!goes_by_one_peers_loads(3, None));
-    assert!(goes_by_one_peers_loads(3, Some(2)));
-    // It is back, and has not stated its loads yet.
-    assert!(!goes_by_one_peers_loads(2, Some(3)));
+fn only_active_schedulers_need_to_have_sent_their_loads() {
+    // One of three schedulers has stopped and sends no more messages.
+    assert!(!loads_of_one_peer_override_report(3, None));
+    assert!(loads_of_one_peer_override_report(3, Some(2)));
+    // A third scheduler is active again and has not sent its loads yet.
+    assert!(!loads_of_one_peer_override_report(2, Some(3)));
 }
 
 #[test]
@@ -82,21 +82,23 @@
         to
     };
     let first = run_one(&mut driver);
-    let leave = |readiness| vec![WorkerEntry { readiness, ..worker(first) }];
-    driver.list(ListKind::Delta, leave(Readiness::Draining));
+    let update = |readiness| vec![WorkerEntry { readiness, ..worker(first) }];
+    driver.list(ListKind::Delta, update(Readiness::Draining));
     let second = run_one(&mut driver);
     assert_ne!(first, second);
-    // A worker that starts again has lost its cache; the other one still has the key's data.
+    // The restarted worker has lost its cache; the other one still has the key's data.
     let started_at = Some(driver.now - 60_000.0);
     driver.list(ListKind::Delta, vec![WorkerEntry { started_at, ..worker(first) }]);
     assert_eq!(run_one(&mut driver), second);
 }
 
-/// Forty schedulers see four jobs each of one key in ten jobs: together that is much for one worker.
+/// Four of ten jobs at each scheduler have the same key. If all of forty schedulers sent them to the same
+/// worker, it would be overloaded.
 #[test]
 fn a_popular_key_has_many_preferred_workers_and_a_rare_one_has_few() {
-    // As many workers as schedulers, and 60 jobs each. A scheduler that sees all jobs needs no more preferred workers than
-    // jobs; a few share one idle preferred worker all the same.
+    // There are as many workers as schedulers, and each scheduler has 60 jobs, one at a time. A scheduler
+    // that sees all jobs needs no more preferred workers than it has jobs, and a few schedulers may still
+    // share one idle preferred worker.
     for (schedulers, min, max) in [(4, 1, 4), (40, 4, 12), (100, 8, 30)] {
         let fleet = Settings { schedulers, ..settings() };
         let workers = schedulers as usize;
@@ -108,14 +110,15 @@
                 let id = driver.job_with_key(REPEATABLE, &key);
                 let to = driver.workers_of(id)[0];
                 let counts = if n % 10 < 4 { &mut hot } else { &mut rare };
-                // That a key is popular is learned first.
+                // The popularity of the key is measured during the first 30 jobs.
                 counts[to] += usize::from(n >= 30 && (n % 10 < 4 || n % 10 == 9));
                 driver.advance(300.0);
                 driver.end_attempt(id, 0, Outcome::Served);
                 driver.advance(300.0);
             }
         }
-        // All jobs of a hot key once went to one worker. Of equal ones the last that served the key is preferred.
+        // Guards against all jobs of a hot key going to one worker. Among equal workers the last one that
+        // served the key is preferred.
         let used = |counts: &[usize]| counts.iter().filter(|&&count| count > 0).count();
         println!("{schedulers}: {} workers of the hot key, {} of a rare one", used(&hot), used(&rare));
         assert!(used(&hot) >= min, "{hot:?}");
--- a/crates/policy/tests/retries.rs
+++ b/crates/policy/tests/retries.rs
@@ -1,4 +1,4 @@
-//! Retries and failures: what an attempt's outcome allows.
+//! Retries and failures after the different outcomes of an attempt.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,11 +10,11 @@
 const IDEMPOTENT_IN_ZONE: usize = 1;
 const NON_IDEMPOTENT: usize = 2;
 
-/// A job of `class` on a fleet of `workers`, whose first attempt ended so after `took`.
-fn after_one_attempt(workers: usize, class: usize, took: f64, outcome: Outcome) -> (Driver, u32) {
+/// A job of `class` with `workers` workers, whose first attempt ended with `outcome` after `duration` ms.
+fn after_one_attempt(workers: usize, class: usize, duration: f64, outcome: Outcome) -> (Driver, u32) {
     let mut driver = Driver::new(settings(), workers, 5);
     let id = driver.job(class);
-    driver.advance(took);
+    driver.advance(duration);
     driver.end_attempt(id, 0, outcome);
     (driver, id)
 }
@@ -22,9 +22,9 @@
 #[test]
 fn a_job_rejected_by_a_full_worker_goes_to_another_one() {
     let (driver, id) = after_one_attempt(4, NON_IDEMPOTENT, 0.0, Outcome::Full);
-    let sends = driver.workers_of(id);
-    assert_eq!(sends.len(), 2);
-    assert_ne!(sends[0], sends[1]);
+    let workers = driver.workers_of(id);
+    assert_eq!(workers.len(), 2);
+    assert_ne!(workers[0], workers[1]);
 }
 
 #[test]
@@ -36,27 +36,27 @@
 }
 
 #[test]
-fn what_another_scheduler_may_have_run_counts_as_the_first_attempt() {
+fn an_attempt_of_another_scheduler_that_may_have_run_counts_as_the_first_attempt() {
     let window = settings().classes[IDEMPOTENT_IN_ZONE].deduplication_window;
     // The worker of the earlier attempt is number 3, in the second of two zones.
-    let sent = |class: usize, ago: f64| {
+    let zones_and_failed = |class: usize, age: f64| {
         let mut driver = Driver::new(settings(), 6, 5);
         let new = NewJob {
             class,
             time_left: 5_000.0,
             slots: 1.0,
-            prior_execution: Some(PriorExecution { worker: 3, age: ago }),
+            prior_execution: Some(PriorExecution { worker: 3, age }),
             ..NewJob::default()
         };
         let id = driver.job_with(new);
         let zones: Vec<usize> = driver.workers_of(id).into_iter().map(|worker| worker % 2).collect();
         (zones, driver.failed.contains(&id))
     };
-    assert_eq!(sent(NON_IDEMPOTENT, 10.0), (vec![], true), "never sent again, and answered at once");
-    assert_eq!(sent(IDEMPOTENT_IN_ZONE, 10.0), (vec![1], false), "in its zone");
-    assert_eq!(sent(IDEMPOTENT_IN_ZONE, window + 1.0), (vec![], true), "past the window");
-    assert_eq!(sent(REPEATABLE, 10.0).0.len(), 1, "anywhere");
-    // If that worker is not known, no worker is known to be in its zone.
+    assert_eq!(zones_and_failed(NON_IDEMPOTENT, 10.0), (vec![], true), "not retried, failed at once");
+    assert_eq!(zones_and_failed(IDEMPOTENT_IN_ZONE, 10.0), (vec![1], false), "retried in the same zone");
+    assert_eq!(zones_and_failed(IDEMPOTENT_IN_ZONE, window + 1.0), (vec![], true), "after the window");
+    assert_eq!(zones_and_failed(REPEATABLE, 10.0).0.len(), 1, "retried anywhere");
+    // If the earlier worker is unknown, no worker is known to be in its zone.
     let mut driver = Driver::new(settings(), 6, 5);
     let new = NewJob {
         class: IDEMPOTENT_IN_ZONE,
@@ -73,18 +73,18 @@
 #[test]
 fn an_idempotent_job_stays_in_its_zone_and_window() {
     let (driver, id) = after_one_attempt(6, IDEMPOTENT_IN_ZONE, 0.0, Outcome::Reset);
-    let sends = driver.workers_of(id);
-    assert_eq!(sends.len(), 2, "tried again");
-    assert_eq!(sends[0] % 2, sends[1] % 2, "in the same zone");
+    let workers = driver.workers_of(id);
+    assert_eq!(workers.len(), 2, "retried");
+    assert_eq!(workers[0] % 2, workers[1] % 2, "in the same zone");
 
     let window = settings().classes[IDEMPOTENT_IN_ZONE].deduplication_window;
     let (driver, id) = after_one_attempt(6, IDEMPOTENT_IN_ZONE, window, Outcome::Reset);
-    assert_eq!(driver.workers_of(id).len(), 1, "past the window");
-    assert_eq!(driver.failed, vec![id], "and not rejected, as it may have run");
+    assert_eq!(driver.workers_of(id).len(), 1, "not retried after the deduplication window");
+    assert_eq!(driver.failed, vec![id], "failed rather than rejected, as it may have run");
 }
 
 #[test]
-fn a_bad_request_fails_once_and_says_nothing_about_its_worker() {
+fn a_bad_request_fails_without_retry_and_does_not_count_against_its_worker() {
     let mut driver = Driver::new(settings(), 2, 2);
     let used: Vec<usize> = (0..10)
         .map(|_| {
@@ -100,11 +100,11 @@
 }
 
 #[test]
-fn an_overtaken_attempt_is_cancelled_where_it_can_be_retried() {
+fn an_overtaken_attempt_is_cancelled_if_the_job_can_be_retried() {
     let mut driver = Driver::new(settings(), 1, 2);
     let lost = [driver.job(REPEATABLE), driver.job(NON_IDEMPOTENT)];
     driver.advance(1_000.0);
-    assert!(driver.cancelled.is_empty(), "a long wait alone says nothing");
+    assert!(driver.cancelled.is_empty(), "cancelled after a long wait without being overtaken");
     let later = driver.job(REPEATABLE);
     driver.start(later, 0);
     driver.advance(1_000.0);
@@ -112,7 +112,7 @@
     driver.end_attempt(lost[0], 0, Outcome::Cancelled);
     assert_eq!(driver.workers_of(lost[0]).len(), 2);
 
-    // Where workers choose among their queued jobs, being overtaken is usual.
+    // Where workers do not start their queued jobs in order, attempts are regularly overtaken.
     let mut driver = Driver::new(Settings { starts_in_order: false, ..settings() }, 1, 2);
     driver.job(REPEATABLE);
     driver.advance(1_000.0);
--- a/crates/policy/tests/workers.rs
+++ b/crates/policy/tests/workers.rs
@@ -1,4 +1,4 @@
-//! The worker list, slow start, and workers that fail or are slow.
+//! Updates of the worker list, slow start, and workers that fail or are slow.
 #![allow(missing_docs)]
 
 mod common;
@@ -10,7 +10,7 @@
 const NON_IDEMPOTENT: usize = 2;
 
 #[test]
-fn draining_and_missing_workers_get_nothing_new() {
+fn draining_and_missing_workers_get_no_new_jobs() {
     let mut driver = Driver::new(settings(), 3, 1);
     let draining = WorkerEntry { readiness: Readiness::Draining, ..worker(0) };
     driver.list(ListKind::Delta, vec![draining]);
@@ -31,19 +31,19 @@
     assert_eq!(driver.watches, 2);
     driver.list(ListKind::Delta, Vec::new());
     driver.advance(60_000.0);
-    assert_eq!(driver.watches, 2, "the watch works: nothing to poll");
+    assert_eq!(driver.watches, 2, "polled although the watch works");
 }
 
-/// One scheduler of several at a steady load, whose first workers have just started; work sent to worker 0 in the worst
-/// second, in slot-milliseconds, when each job takes `run`.
-fn work_in_the_worst_second_of_slow_start(schedulers: u32, restarted: usize, run: f64) -> f64 {
+/// The most work, in slot-milliseconds, that one of `schedulers` schedulers sends to worker 0 within a second
+/// while the first `restarted` workers are warming up. The load is steady and each job takes `run_time`.
+fn work_in_the_worst_second_of_slow_start(schedulers: u32, restarted: usize, run_time: f64) -> f64 {
     let mut driver = Driver::new(Settings { schedulers, ..settings() }, 10, 11);
     let mut sent = Vec::new();
     for step in 0..1_200 {
         if step == 600 {
             let started_at = Some(driver.now);
-            let fresh = (0..restarted).map(|id| WorkerEntry { started_at, ..worker(id) }).collect();
-            driver.list(ListKind::Delta, fresh);
+            let entries = (0..restarted).map(|id| WorkerEntry { started_at, ..worker(id) }).collect();
+            driver.list(ListKind::Delta, entries);
         }
         if step % 2 == 0 {
             let id = driver.job(REPEATABLE);
@@ -51,20 +51,20 @@
                 sent.extend(driver.workers_of(id).first().filter(|&&to| to == 0).map(|_| driver.now));
             }
         }
-        driver.serve_after(run);
+        driver.serve_after(run_time);
         driver.advance(10.0);
     }
     let worst = sent.iter().map(|&from| sent.iter().filter(|&&at| at >= from && at < from + 1_000.0).count());
-    worst.max().unwrap_or(0) as f64 * run
+    worst.max().unwrap_or(0) as f64 * run_time
 }
 
 #[test]
 fn slow_start_limits_the_work_even_when_most_workers_warm_up() {
-    // 50 jobs a second of 200 ms on 10 workers: 1,000 slot-ms a second on each when all have the same load.
+    // 50 jobs of 200 ms per second on 10 workers: 1,000 slot-ms per second at each if the load is even.
     for restarted in [1, 9] {
         let sent = work_in_the_worst_second_of_slow_start(1, restarted, 200.0);
         let max = 3.0 * 0.5 * 1_000.0;
-        assert!(sent > 0.0 && sent <= max, "{restarted} restarted: {sent} slot-ms in a second");
+        assert!(sent > 0.0 && sent <= max, "{restarted} restarted: {sent} slot-ms in one second");
     }
 }
 
@@ -76,18 +76,18 @@
         let id = driver.job(NON_IDEMPOTENT);
         to_failing += driver.workers_of(id).iter().filter(|&&to| to == 0).count();
         driver.advance(10.0);
-        // Four jobs run at a time; the failing worker fails its own within 10 ms and stands idle again.
+        // Four jobs run at a time. The failing worker fails each job within 10 ms and is then idle again.
         for (id, number) in driver.in_flight() {
-            let (worker, sent) =
+            let (worker, sent_at) =
                 (driver.jobs[&id].attempts[number].worker, driver.jobs[&id].attempts[number].sent_at);
             if worker == 0 {
                 driver.end_attempt(id, number, Outcome::WorkerError);
-            } else if sent + 40.0 <= driver.now {
+            } else if sent_at + 40.0 <= driver.now {
                 driver.end_attempt(id, number, Outcome::Served);
             }
         }
     }
-    assert!((1..20).contains(&to_failing), "{to_failing} of 200 jobs to the worker that fails them all");
+    assert!((1..20).contains(&to_failing), "{to_failing} of 200 jobs sent to the failing worker");
 }
 
 #[test]
@@ -95,7 +95,7 @@
     let mut driver = Driver::new(settings(), 2, 2);
     let mut others = 0;
     let mut run_one = |outcome| {
-        // Both workers would be preferred ones of a key that all jobs have.
+        // If all jobs had the same key, both workers would be preferred for it.
         for _ in 0..9 {
             others += 1;
             let id = driver.job_with_key(REPEATABLE, &format!("other-{others}"));
@@ -113,13 +113,15 @@
     let first = run_one(Outcome::Served);
     (0..40).for_each(|_| assert_eq!(run_one(Outcome::Served), first));
     run_one(Outcome::Reset);
-    (0..3).for_each(|_| assert_eq!(run_one(Outcome::Served), first, "after one reset among forty answers"));
+    (0..3).for_each(|_| {
+        assert_eq!(run_one(Outcome::Served), first, "after one reset among forty served attempts")
+    });
 }
 
 #[test]
 fn a_worker_that_was_slow_is_used_again() {
     let mut driver = Driver::new(settings(), 3, 7);
-    // Jobs at worker 0 take ten times as long, until they take as long as anywhere.
+    // Jobs at worker 0 take ten times as long during the first 200 steps, later as long as at the others.
     let mut used = [0; 2];
     for step in 0..600 {
         let id = driver.job(REPEATABLE);
@@ -128,13 +130,13 @@
         used[usize::from(step >= 400)] += usize::from(to == 0 && step >= 100);
         for (id, attempt) in driver.in_flight() {
             let slow = driver.workers_of(id)[attempt] == 0 && step < 200;
-            let sent = driver.jobs[&id].attempts[attempt].sent_at;
-            if driver.now - sent >= if slow { 1_500.0 } else { 150.0 } {
+            let sent_at = driver.jobs[&id].attempts[attempt].sent_at;
+            if driver.now - sent_at >= if slow { 1_500.0 } else { 150.0 } {
                 driver.end_attempt(id, attempt, Outcome::Served);
             }
         }
         driver.advance(100.0);
     }
-    assert!(used[0] < 80, "of 300 jobs, with the worker slow for a third of them: {}", used[0]);
-    assert!(used[1] > 30, "of 200 jobs, long after: {}", used[1]);
+    assert!(used[0] < 80, "{} of 300 jobs sent to the worker, which was slow during the first 100", used[0]);
+    assert!(used[1] > 30, "{} of 200 jobs sent to the worker long after it was slow", used[1]);
 }
