--- a/crates/policy/src/dispatcher/budget.rs
+++ b/crates/policy/src/dispatcher/budget.rs
@@ -52,7 +52,7 @@
     pub(super) fn record_quota_work(&mut self, now: Millis, work: f64) {
         let budget = &mut self.budget;
         budget.quota_work.add(now, RATE_DECAY_TIME, work);
-        let mean = budget.quota_work.value / self.quotas.counted_duration(now).max(ADJUST_INTERVAL);
+        let mean = budget.quota_work.value / self.quotas.effective_window(now).max(ADJUST_INTERVAL);
         budget.floor = FLOOR_PER_MEAN * mean + FLOOR_PER_ROOT * mean.sqrt();
     }
 
--- a/crates/policy/src/dispatcher/mod.rs
+++ b/crates/policy/src/dispatcher/mod.rs
@@ -74,7 +74,7 @@
 impl Dispatcher {
     /// A dispatcher that knows nothing yet.
     pub fn new(now: Millis, settings: Settings, seed: u64) -> Self {
-        let settings = settings.complete();
+        let settings = settings.normalized();
         let run_time = |class: &Class| RunTimeEstimate::assume(class.latency_objective.max(1.0));
         let lanes = PriorityLanes::new(&settings);
         let objectives: Millis = settings.classes.iter().map(|class| class.latency_objective).sum();
--- a/crates/policy/src/dispatcher/queues.rs
+++ b/crates/policy/src/dispatcher/queues.rs
@@ -22,7 +22,7 @@
         // The last job of the least weight in a full queue gives way to one of a greater weight.
         let queue = &self.tenant_queues[tenant];
         let is_full = queue.depth() >= queue.max_depth;
-        let displaced = queue.last_below(lane).filter(|_| is_full);
+        let displaced = queue.last_job_below(lane).filter(|_| is_full);
         self.job_timers.push(job.queue_deadline, id);
         self.expected_run_times.observe(job.run_time, RUN_TIME_WEIGHT, 1.0);
         if job.is_within_quota {
@@ -50,7 +50,7 @@
         let mut job = Job {
             class,
             tenant,
-            is_within_quota: self.quotas.admit(now, tenant),
+            is_within_quota: self.quotas.take_token(now, tenant),
             key,
             key_popularity: key.map_or(0.0, |key| self.key_popularity.record(now, key)),
             deadline: now + new.time_left,
@@ -63,7 +63,7 @@
         let first_requested_at = now - self.request_ages.observe(class, new.time_left);
         job.objective_at = first_requested_at + job.run_time + self.slack(&job);
         job.is_late = now + LEAST_RUN_TIME * job.run_time > job.objective_at;
-        job.lane = self.lanes.lane(self.settings.weight(class, job.is_within_quota, job.is_late));
+        job.lane = self.lanes.lane(self.settings.answer_weight(class, job.is_within_quota, job.is_late));
         let queue_deadline = now + MAX_QUEUE_TIME * self.slack(&job);
         job.queue_deadline = queue_deadline.min(job.deadline - DEADLINE_MARGIN);
         job
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,4 +1,5 @@
-//! What a dispatcher is told at its start: the classes of jobs, the tenants, and what workers and schedulers can do.
+//! The settings that a dispatcher starts with: the classes of jobs, the tenants, and what workers and
+//! schedulers can do.
 
 mod document;
 
@@ -10,13 +11,14 @@
 pub enum Effect {
     /// May be executed any number of times.
     Repeatable,
-    /// Carries an idempotency key, by which the workers of one scope drop retries for a while.
+    /// Carries an idempotency key. The workers of one deduplication scope discard retries with the same key
+    /// during the deduplication window.
     Idempotent,
-    /// Must never be executed twice.
+    /// Must not be executed twice.
     NonIdempotent,
 }
 
-/// Which workers recognise one another's idempotency keys.
+/// The set of workers that recognise one another's idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All workers.
@@ -32,30 +34,33 @@
 pub struct Class {
     /// Whether its jobs may be executed more than once.
     pub effect: Effect,
-    /// For idempotent classes: which workers drop retries.
+    /// For idempotent classes: the workers that discard retries of a job that one of them has received.
     pub deduplication_scope: DeduplicationScope,
-    /// For idempotent classes: how long they do, from the start of the first attempt that may have run.
+    /// For idempotent classes: how long workers discard retries, counted from the start of the first attempt
+    /// that may have run.
     pub deduplication_window: Millis,
-    /// An answer within this, plus `stretch` times the job's own running time, earns the full weight.
+    /// An answer within this time, plus `stretch` times the job's own running time, earns the full weight.
     pub latency_objective: Millis,
-    /// How much of its own running time is added to a job's latency objective.
+    /// Multiple of a job's own running time that is added to its latency objective. The dispatcher treats
+    /// values below 1 as 1.
     pub stretch: f64,
-    /// After this long the client stops waiting.
+    /// How long a client waits for an answer.
     pub deadline: Millis,
-    /// What one answer is worth, in comparison with other classes.
+    /// The value of one answer relative to other classes.
     pub priority_weight: f64,
-    /// The fraction of the weight that an answer between latency objective and deadline earns.
+    /// The fraction of the weight that an answer between the latency objective and the deadline earns.
     pub late_weight: f64,
-    /// The answer is streamed.
+    /// Whether the answer is streamed.
     pub streamed: bool,
-    /// The only machine kind that runs this class; `None`: any.
+    /// The only machine kind that runs this class; `None` if any kind does.
     pub kind: Option<u32>,
-    /// Its priority in a worker's queue.
+    /// Priority of its jobs in a worker's queue.
     pub priority: i64,
 }
 
 impl Class {
-    /// How long a job of this running time can wait and still be in time. The latency objective grows with it.
+    /// How long a job with this running time can wait and still meet its latency objective, which grows with
+    /// the running time.
     pub(crate) fn slack(&self, run_time: Millis) -> Millis {
         (self.latency_objective + (self.stretch - 1.0).max(0.0) * run_time).max(1.0)
     }
@@ -66,105 +71,108 @@
 pub struct Tenant {
     /// Its fraction of the capacity, 0 to 1.
     pub quota_fraction: f64,
-    /// Jobs a second, over all schedulers, that lie within its quota; 0: it has none.
+    /// Its quota in jobs per second, summed over all schedulers; 0 if it has none.
     pub quota_per_second: f64,
 }
 
-/// What the weights of listed workers mean.
+/// Meaning of the weights in the worker list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Weights {
-    /// Nothing.
+    /// The weights are ignored.
     None,
     /// The worker's size, exact or approximate.
     Size,
-    /// The size, divided by one more than the requests in flight per core a while ago.
+    /// The worker's size divided by one plus its requests in flight per core, as of some time ago.
     Live,
 }
 
 /// Where load reports come from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportSource {
-    /// There are none.
+    /// Workers send no load reports.
     None,
-    /// They come with responses and with health checks.
+    /// Load reports come with responses and with health checks.
     Responses,
-    /// They come with health checks alone.
+    /// Load reports come only with health checks.
     HealthChecks,
 }
 
-/// All that a dispatcher is told at its start.
+/// The settings of a dispatcher. They are fixed at its start, except that events update
+/// [`Settings::schedulers`] and [`Settings::zone_costs`].
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// This scheduler's number among them, from 0.
+    /// This scheduler's number, counted from 0.
     pub ordinal: u32,
-    /// How many schedulers share the workers.
+    /// The number of schedulers that share the workers.
     pub schedulers: u32,
     /// The zone of this scheduler.
     pub zone: u32,
-    /// The classes, by index.
+    /// The classes; a class is identified by its index.
     pub classes: Vec<Class>,
-    /// The tenants, by index; may be empty.
+    /// The tenants, identified by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// The endpoint list comes only on request.
+    /// The endpoint list is sent only on request, so the dispatcher has to poll it or open a watch.
     pub list_on_request: bool,
-    /// What listed weights mean.
+    /// Meaning of the weights in the worker list.
     pub weights: Weights,
     /// Where load reports come from.
     pub report_source: ReportSource,
     /// Workers report when a job starts.
     pub reports_job_start: bool,
-    /// Workers start jobs in the order of their arrival.
+    /// Workers start jobs in order of arrival.
     pub starts_in_order: bool,
-    /// Time between progress reports of a running job; 0: there are none.
+    /// Time between progress reports of a running job; 0 if workers send none.
     pub progress_interval: Millis,
     /// Attempts may be cancelled.
     pub cancellation: bool,
     /// Workers answer health checks.
     pub health_checks: bool,
-    /// Schedulers may send one another messages.
+    /// Schedulers may send messages to one another.
     pub peer_messages: bool,
     /// A job may have two attempts in flight at once.
     pub hedged_requests: bool,
-    /// Rejected clients are told how long to wait before a retry.
+    /// Clients whose job is rejected are told how long to wait before a retry.
     pub retry_after: bool,
     /// The longest such wait that clients respect.
     pub max_retry_after: Millis,
-    /// Attempts allowed for one job.
+    /// The maximum number of attempts for one job.
     pub max_attempts: usize,
-    /// Establishing a connection takes no longer than this.
+    /// Time-out for establishing a connection.
     pub connect_timeout: Millis,
-    /// How long after a client's deadline a final answer still counts.
+    /// Grace period after a client's deadline in which a final answer still counts.
     pub answer_slack: Millis,
-    /// Where the list comes on request: longest time between polls without a watch.
+    /// If the list is sent only on request: the longest time between two polls while no watch is open.
     pub max_poll_interval: Millis,
-    /// How long after it was reported as draining or gone a worker may still be sent jobs.
+    /// How long a worker may still be sent jobs after it was reported as draining or gone.
     pub drain_grace: Millis,
-    /// The fraction of its capacity that a worker has at its start.
+    /// The fraction of its capacity that a worker has when it starts.
     pub initial_capacity_fraction: f64,
     /// How long a worker takes to reach its full capacity.
     pub warm_up_duration: Millis,
-    /// A worker that is warming up fails when it is sent more than this multiple of its capacity ...
+    /// A worker that is warming up fails when it is sent more than this multiple of its current capacity for
+    /// `overload_duration`.
     pub overload_multiple: f64,
-    /// ... over this long.
+    /// See `overload_multiple`.
     pub overload_duration: Millis,
-    /// The priority weight of a job beyond its tenant's quota, as a fraction of its class's.
+    /// The priority weight of a job beyond its tenant's quota, as a fraction of its class's weight.
     pub over_quota_weight: f64,
     /// Cost of an attempt that crosses zones.
     pub cross_zone_fee: f64,
-    /// What a worker of each zone costs by the traffic plan, in latency objectives; empty: there is no plan.
+    /// Placement cost of a worker in each zone according to the traffic plan, by zone number and in latency
+    /// objectives; empty if there is no plan.
     pub zone_costs: Vec<f64>,
-    /// Cost of an open connection, per hundred a worker.
+    /// Cost of open connections, for an average of one hundred per worker.
     pub connection_fee: f64,
-    /// Cost of a health check for every job.
+    /// Cost of health checks, for an average of one per job.
     pub health_check_fee: f64,
 }
 
-/// What a worker of another zone costs where there is no traffic plan, in latency objectives.
+/// Placement cost of a worker in another zone when there is no traffic plan, in latency objectives.
 const CROSS_ZONE_COST: f64 = 0.05;
 
 impl Settings {
-    /// The same with at least one scheduler and one tenant, which has no quota.
-    pub(crate) fn complete(mut self) -> Self {
+    /// Ensures that there is at least one scheduler and one tenant. A tenant that is added here has no quota.
+    pub(crate) fn normalized(mut self) -> Self {
         self.schedulers = self.schedulers.max(1);
         if self.tenants.is_empty() {
             self.tenants.push(Tenant { quota_fraction: 1.0, quota_per_second: 0.0 });
@@ -172,22 +180,22 @@
         self
     }
 
-    /// What an answer to a job of this class is worth.
-    pub(crate) fn weight(&self, class: usize, is_within_quota: bool, is_late: bool) -> f64 {
+    /// The value of an answer to a job of this class.
+    pub(crate) fn answer_weight(&self, class: usize, is_within_quota: bool, is_late: bool) -> f64 {
         let Class { priority_weight, late_weight, .. } = self.classes[class];
-        let of_quota = if is_within_quota { 1.0 } else { self.over_quota_weight };
-        let of_lateness = if is_late { late_weight } else { 1.0 };
-        priority_weight * of_quota * of_lateness
+        let quota_factor = if is_within_quota { 1.0 } else { self.over_quota_weight };
+        let lateness_factor = if is_late { late_weight } else { 1.0 };
+        priority_weight * quota_factor * lateness_factor
     }
 
-    /// The fraction of its capacity that a worker has for certain this long after its start; 1 once it has warmed up.
+    /// The fraction of its capacity that a worker is certain to have at this age; 1 once it has warmed up.
     pub(crate) fn capacity_fraction(&self, age: Millis) -> f64 {
         let warmed_up = (age / self.warm_up_duration.max(1.0)).clamp(0.0, 1.0);
         let initial = self.initial_capacity_fraction;
         initial + (1.0 - initial) * warmed_up
     }
 
-    /// What a worker of this zone costs for its zone, in latency objectives.
+    /// Placement cost of a worker in this zone, in latency objectives.
     pub fn cross_zone_cost(&self, zone: u32) -> f64 {
         let unplanned = if zone == self.zone { 0.0 } else { CROSS_ZONE_COST };
         self.zone_costs.get(zone as usize).copied().unwrap_or(unplanned)
--- a/crates/policy/src/settings/document.rs
+++ b/crates/policy/src/settings/document.rs
@@ -1,13 +1,14 @@
-//! The settings document that a dispatcher starts with, and the settings that it stands for.
+//! The settings document that a dispatcher starts with, and its conversion to [`Settings`].
 //!
-//! The simulator's first message and a scheduler's configuration carry the same document, so that one struct serves
-//! both. Every field that may be absent is an `Option`, and every name that differs from the document's is a plain
-//! `rename`: serde and miniserde both understand that much. What is absent has the value that promises least.
+//! The simulator's first message and a scheduler's configuration contain the same document, so one struct
+//! serves both. It is read with miniserde and with serde. Both support `Option` for fields that may be absent
+//! and a plain `rename` where a field's name differs from its key; nothing else is used. An absent field gets
+//! the most conservative value.
 
 use super::{Class, DeduplicationScope, Effect, ReportSource, Settings, Tenant, Weights};
 use crate::units::Millis;
 
-/// The document.
+/// The document as it was read, before its conversion to [`Settings`].
 #[derive(Clone, Debug, serde::Deserialize, miniserde::Deserialize)]
 pub struct SettingsDocument {
     ordinal: Option<u32>,
@@ -19,7 +20,8 @@
     discovery: Option<String>,
     weights: Option<String>,
     report: Option<ReportDocument>,
-    specifics: Option<WorkerFeatures>,
+    #[serde(rename = "specifics")]
+    worker_features: Option<WorkerFeatures>,
     limits: Option<Limits>,
     obligations: Option<Obligations>,
     #[serde(rename = "over-share-worth")]
@@ -85,7 +87,7 @@
     source: Option<String>,
 }
 
-/// What the workers of this site do, and what they require.
+/// What the workers of this site support and require.
 #[derive(Clone, Debug, Default, serde::Deserialize, miniserde::Deserialize)]
 struct WorkerFeatures {
     #[serde(rename = "class-kind")]
@@ -126,7 +128,7 @@
     hedged_requests: Option<bool>,
 }
 
-/// What a scheduler owes to clients, discovery and workers.
+/// What clients, discovery and workers require of a scheduler.
 #[derive(Clone, Debug, Default, serde::Deserialize, miniserde::Deserialize)]
 struct Obligations {
     #[serde(rename = "answer-slack")]
@@ -176,18 +178,18 @@
         self.kinds.clone().unwrap_or_default()
     }
 
-    /// After how long workers close an idle connection, if that is stated.
+    /// Time after which workers close an idle connection; `None` if absent or not positive.
     pub fn idle_timeout(&self) -> Option<Millis> {
         self.limits.as_ref().and_then(|limits| limits.idle_timeout).filter(|&timeout| timeout > 0.0)
     }
 
-    /// How many jobs may be open at the same time, if that is stated.
+    /// Maximum number of jobs that may be open at the same time; `None` if absent or 0.
     pub fn max_open_jobs(&self) -> Option<usize> {
         self.limits.as_ref().and_then(|limits| limits.max_open_jobs).filter(|&jobs| jobs > 0)
     }
 
     fn classes(&self) -> Vec<Class> {
-        let features = self.specifics.as_ref();
+        let features = self.worker_features.as_ref();
         self.classes
             .iter()
             .enumerate()
@@ -219,7 +221,7 @@
 }
 
 impl WorkerFeatures {
-    /// A class with what is stated for its index.
+    /// Overrides the fields of a class with the values given for its index.
     fn refine_class(&self, index: usize, class: Class) -> Class {
         fn at<T: Copy>(values: Option<&Vec<T>>, index: usize) -> Option<T> {
             values.and_then(|values| values.get(index)).copied()
@@ -296,8 +298,8 @@
             deduplication_scope: match class.deduplication_scope {
                 Some(ScopeName::All) => DeduplicationScope::All,
                 Some(ScopeName::Zone) => DeduplicationScope::Zone,
-                // The narrowest scope where none is stated: only workers of one cell share all idempotency keys for
-                // certain.
+                // Absent: the narrowest scope, since only workers of one cell are certain to share all
+                // idempotency keys.
                 Some(ScopeName::Cell) | None => DeduplicationScope::Cell,
             },
             deduplication_window: class.deduplication_window.unwrap_or(0.0),
@@ -336,7 +338,7 @@
             over_quota_weight: document.over_quota_weight.unwrap_or(0.0),
             ..Settings::default()
         };
-        let settings = document.specifics.clone().unwrap_or_default().apply(settings);
+        let settings = document.worker_features.clone().unwrap_or_default().apply(settings);
         let settings = document.limits.clone().unwrap_or_default().apply(settings);
         let settings = document.obligations.clone().unwrap_or_default().apply(settings);
         document.fees.clone().unwrap_or_default().apply(settings)
--- a/crates/policy/src/tenant_quotas.rs
+++ b/crates/policy/src/tenant_quotas.rs
@@ -1,41 +1,42 @@
-//! Which jobs lie within their tenants' quotas, as far as one of many schedulers can tell.
+//! Decides whether a job is within its tenant's quota.
 //!
-//! A quota holds for all schedulers together. Each one measures what fraction of all traffic it sees, and admits that
-//! fraction of each quota by a token bucket.
+//! A quota applies to all schedulers together. Each scheduler estimates the fraction of all traffic that it
+//! receives, and enforces that fraction of each quota with a token bucket.
 
 use crate::measure::DecayingSum;
 use crate::settings::{Settings, Tenant};
 use crate::token_bucket::TokenBucket;
 use crate::units::Millis;
 
-/// Counts of jobs and work decay to 1/e in this time.
+/// Measured rates of jobs and work decay to 1/e in this time.
 pub(crate) const RATE_DECAY_TIME: Millis = 10_000.0;
-/// Jobs that the assumption of evenly spread traffic weighs as much as.
+/// Weight, in jobs, of the prior assumption that traffic is spread evenly over the schedulers.
 const PRIOR_JOBS: f64 = 5.0;
-/// Tenants use less than their quotas, so that the fraction of traffic estimated from them is too small by about this.
+/// Tenants use less than their quotas, so the fraction of traffic that is estimated from the quotas is too
+/// small by about this factor.
 const FRACTION_MARGIN: f64 = 1.4;
-/// What a tenant may bring at once and stay within its quota, as the time in which its quota allows that much.
+/// Burst that is within a tenant's quota: as many jobs as the quota allows in this time.
 const BURST_DURATION: Millis = 1_500.0;
-/// A bucket holds at least this many tokens.
+/// Minimum size of a token bucket, in jobs.
 const MIN_BUCKET_SIZE: f64 = 2.0;
 
-/// One tenant's token bucket, and its measured traffic.
+/// One tenant's token bucket and measured arrivals.
 struct TenantMeter {
     quota_per_second: f64,
     bucket: TokenBucket,
     arrivals: DecayingSum,
 }
 
-/// The tenants' quotas, scaled to the fraction of all traffic that this scheduler sees.
+/// The tenants' quotas, scaled to the fraction of all traffic that this scheduler receives.
 pub(crate) struct TenantQuotas {
     meters: Vec<TenantMeter>,
-    /// This scheduler's fraction if traffic is spread evenly.
+    /// The fraction of all traffic that this scheduler receives if traffic is spread evenly.
     even_fraction: f64,
     started_at: Millis,
 }
 
 impl TenantQuotas {
-    /// Quotas before any job arrived.
+    /// Creates the quotas with full token buckets.
     pub(crate) fn new(now: Millis, settings: &Settings) -> Self {
         let meter = |tenant: &Tenant| TenantMeter {
             quota_per_second: tenant.quota_per_second,
@@ -49,8 +50,9 @@
         }
     }
 
-    /// Counts a job of a tenant and takes one of its tokens; whether there was one.
-    pub(crate) fn admit(&mut self, now: Millis, tenant: usize) -> bool {
+    /// Counts an arriving job of a tenant and takes one of its tokens. Returns whether the job is within the
+    /// quota, which it always is for a tenant without one.
+    pub(crate) fn take_token(&mut self, now: Millis, tenant: usize) -> bool {
         self.meters[tenant].arrivals.add(now, RATE_DECAY_TIME, 1.0);
         let fraction = self.traffic_fraction(now);
         let meter = &mut self.meters[tenant];
@@ -66,18 +68,19 @@
         within_quota
     }
 
-    /// The time that a decaying count stands for: its decay time, or less soon after the start.
-    pub(crate) fn counted_duration(&self, now: Millis) -> Millis {
+    /// The length of the time window that a decaying count represents: the decay time, or less shortly after
+    /// the start.
+    pub(crate) fn effective_window(&self, now: Millis) -> Millis {
         RATE_DECAY_TIME * (1.0 - (-(now - self.started_at) / RATE_DECAY_TIME).exp())
     }
 
-    /// The fraction of all traffic that arrives here: the median, over the tenants, of what arrives here to their
-    /// quotas.
+    /// Estimates the fraction of all traffic that this scheduler receives: the median, over the tenants with
+    /// a quota, of the ratio of a tenant's arrivals here to its quota.
     fn traffic_fraction(&self, now: Millis) -> f64 {
-        let duration = self.counted_duration(now);
+        let window = self.effective_window(now);
         let fraction = |meter: &TenantMeter| {
             let quota_per_ms = meter.quota_per_second / 1_000.0;
-            let expected = quota_per_ms * duration + PRIOR_JOBS / self.even_fraction;
+            let expected = quota_per_ms * window + PRIOR_JOBS / self.even_fraction;
             (meter.arrivals.value_at(now, RATE_DECAY_TIME) + PRIOR_JOBS) / expected
         };
         let with_quota = self.meters.iter().filter(|meter| meter.quota_per_second > 0.0);
--- a/crates/policy/tests/settings_document.rs
+++ b/crates/policy/tests/settings_document.rs
@@ -1,13 +1,13 @@
-//! The settings document: its names on file, and what is assumed where they are absent. Other programs write it, so that
-//! none of them may change.
+//! The settings document: its keys, and the defaults for absent ones. Other programs write the document, so
+//! no key may change.
 #![allow(missing_docs)]
 
 use brackenledge_policy::{DeduplicationScope, Effect, ReportSource, Settings, SettingsDocument, Weights};
 
-/// Every key, none with the value that its absence stands for.
+/// All keys, each with a value other than its default.
 const COMPLETE: &str = r#"{
-    "ordinal": 3, "balancers": 7, "zone": 2, "discovery": "on_request", "weights": "live", "over-share-worth": 0.3,
-    "zones": ["north", "south"], "shapes": ["small"], "report": {"source": "probe"},
+    "ordinal": 3, "balancers": 7, "zone": 2, "discovery": "on_request", "weights": "live",
+    "over-share-worth": 0.3, "zones": ["north", "south"], "shapes": ["small"], "report": {"source": "probe"},
     "classes": [
         {"name": "view", "effect": "pure", "goal-time": 300, "hard-limit": 5000, "group": "all", "window": 60,
          "aim-stretch": 1.5, "importance": 2, "late-value": 0.25, "streamed": true},
@@ -16,18 +16,22 @@
     "tenants": [{"name": "shop", "fraction": 0.6, "quota-per-s": 60}],
     "specifics": {"class-kind": [4, -1], "class-priority": [5], "class-stretch": [2.5], "progress": 20,
         "queue-order": "fifo", "tells-start": true},
-    "limits": {"cancelling": true, "conn-idle": 900, "connect-timeout": 70, "max-attempts": 4, "max-retry-after": 2000,
-        "most-held": 50, "peer-messages": true, "probes": true, "retry-after": true, "second-copies": true},
-    "obligations": {"answer-slack": 8, "ask-within": 6000, "cold-share": 0.2, "drain-grace": 150, "fall-multiple": 2.5,
-        "overload-for": 1100, "warm-within": 9000},
+    "limits": {"cancelling": true, "conn-idle": 900, "connect-timeout": 70, "max-attempts": 4,
+        "max-retry-after": 2000, "most-held": 50, "peer-messages": true, "probes": true, "retry-after": true,
+        "second-copies": true},
+    "obligations": {"answer-slack": 8, "ask-within": 6000, "cold-share": 0.2, "drain-grace": 150,
+        "fall-multiple": 2.5, "overload-for": 1100, "warm-within": 9000},
     "fees": {"cross-zone": 0.1, "connection": 0.2, "probe": 0.4}
 }"#;
 
 const MINIMAL: &str = r#"{"classes": [{"effect": "token", "goal-time": 300, "hard-limit": 5000}]}"#;
 
-/// The document, read by each of the two readers that are in use.
+/// The document as parsed by each of the two parsers in use.
 fn read(text: &str) -> [SettingsDocument; 2] {
-    [miniserde::json::from_str(text).expect("a document"), serde_json::from_str(text).expect("a document")]
+    [
+        miniserde::json::from_str(text).expect("valid document"),
+        serde_json::from_str(text).expect("valid document"),
+    ]
 }
 
 #[test]
@@ -63,7 +67,7 @@
         let view = &classes[0];
         assert_eq!((view.latency_objective, view.deadline, view.streamed), (300.0, 5_000.0, true));
         assert_eq!((view.priority_weight, view.late_weight), (2.0, 0.25));
-        // What is stated by index takes precedence; a negative kind is none.
+        // A value that is given by class index takes precedence. A negative kind means no kind.
         assert_eq!((view.stretch, view.kind, view.priority), (2.5, Some(4), 5));
         assert_eq!((classes[1].stretch, classes[1].kind, classes[1].priority), (0.0, None, 0));
         assert_eq!(view.deduplication_window, 60.0);
@@ -75,7 +79,7 @@
 }
 
 #[test]
-fn what_is_absent_has_the_value_that_promises_least() {
+fn absent_keys_get_the_most_conservative_value() {
     for document in read(MINIMAL) {
         assert_eq!((document.idle_timeout(), document.max_open_jobs()), (None, None));
         let settings = Settings::from(&document);
@@ -90,7 +94,7 @@
         assert_eq!((settings.overload_multiple, settings.overload_duration), (2.0, 1_000.0));
         let class = &settings.classes[0];
         assert_eq!((class.priority_weight, class.late_weight, class.stretch), (1.0, 0.0, 0.0));
-        // Only workers of one cell are certain to know one another's idempotency keys.
+        // Only workers of one cell are certain to recognise one another's idempotency keys.
         assert_eq!(class.deduplication_scope, DeduplicationScope::Cell);
         assert_eq!(class.deduplication_window, 0.0);
     }
