--- a/crates/policy/src/peers/aggregation.rs
+++ b/crates/policy/src/peers/aggregation.rs
@@ -1,9 +1,10 @@
-//! Loads of a large cluster, by way of one scheduler.
+//! Aggregation of the loads of a large cluster by one of its schedulers.
 //!
-//! If all schedulers of a large cluster sent their loads to all others, each job would cost a message to each of them.
-//! Instead one of them, the aggregator, receives the loads of all others, and broadcasts the sums a few times a second.
-//! It needs no election: the aggregator is whoever sends sums. When it falls silent, the scheduler with the next number
-//! succeeds it, and of two aggregators the one with the higher number stops. Two of them cost a message, and no more.
+//! If all schedulers of a large cluster sent their loads to all others, each job would cost one message to
+//! every other scheduler. Instead one of them, the aggregator, receives the loads of all others and
+//! broadcasts the sums a few times per second. There is no election: the scheduler that broadcasts sums is
+//! the aggregator. When its messages stop, the scheduler with the next number takes over. Of two aggregators,
+//! the one with the higher number stops; until then the only cost is an additional message.
 
 use super::load_message::{LoadMessageKind, TaggedSlots, WorkerSlots, WorkerTag, encode_loads};
 use super::{OutgoingMessage, SlotsByHash};
@@ -12,40 +13,44 @@
 
 /// Time between two broadcasts of the aggregator.
 pub(super) const ROUND_INTERVAL: Millis = 200.0;
-/// Every so many rounds names all workers, as messages may be lost; the others name those that have changed.
+/// One in this many rounds lists all workers in use, because messages may be lost. The other rounds list only
+/// workers whose load has changed.
 const FULL_ROUND_INTERVAL: u32 = 5;
-/// The aggregator's successor waits this long for its next message ...
+/// The aggregator's successor takes over after this time without a message from it.
 const AGGREGATOR_TIMEOUT: Millis = 450.0;
-/// ... and each further scheduler, in the order of the numbers, this much longer than the one before it.
+/// Each further scheduler, in the order of the numbers, waits this much longer than the one before it.
 const SUCCESSION_INTERVAL: Millis = 60.0;
-/// Aggregated loads are valid for this long.
+/// How long aggregated loads are valid.
 const AGGREGATED_TTL: Millis = 1_000.0;
-/// A scheduler whose loads have not changed reports them to the aggregator again after this time.
+/// A scheduler repeats its report to the aggregator after this time if its loads have not changed.
 const REPORT_INTERVAL: Millis = 600.0;
 
-/// Slots that all other schedulers occupy at a worker.
+/// Slots that the other schedulers occupy at a worker.
 #[derive(Clone, Copy)]
 struct RemoteSlots {
     slots: f64,
     received_at: Millis,
 }
 
-/// A scheduler's part in the aggregation.
+/// One scheduler's state of the aggregation.
 pub(super) struct Aggregation {
     ordinal: u32,
     schedulers: u32,
-    /// The sender of the last aggregated loads, which may be this scheduler, and when they were sent.
+    /// The sender of the last aggregated loads, which may be this scheduler.
     aggregator: Option<u32>,
+    /// When the aggregator last sent a message.
     aggregator_active_at: Millis,
-    /// Until when the loads are valid. None are at the start, nor while a new aggregator has no reports yet.
+    /// When the loads expire. They are invalid at the start, and until a new aggregator has received reports.
     valid_until: Millis,
     /// By worker; empty until aggregated loads have arrived.
     remote_slots: Vec<RemoteSlots>,
     /// When this scheduler last reported its loads to the aggregator.
     reported_at: Millis,
-    /// As the aggregator: what was last broadcast, how many rounds there were, and when the next one is due.
+    /// As the aggregator: the loads that were last broadcast.
     broadcast: BTreeMap<WorkerTag, f64>,
+    /// As the aggregator: number of rounds so far.
     rounds: u32,
+    /// As the aggregator: when the next round is due.
     next_round_at: Millis,
 }
 
@@ -75,18 +80,18 @@
         self.aggregator == Some(self.ordinal)
     }
 
-    /// Whether the loads of all schedulers are known.
+    /// Whether the aggregated loads are valid.
     pub(super) fn is_valid(&self, now: Millis) -> bool {
         now < self.valid_until
     }
 
-    /// Slots that all other schedulers occupy at a worker, by the aggregated loads.
+    /// Slots that the other schedulers occupy at a worker according to the aggregated loads.
     pub(super) fn remote_slots(&self, worker: WorkerId) -> f64 {
         self.remote_slots.get(worker).map_or(0.0, |remote| remote.slots)
     }
 
-    /// Takes in a message with aggregated loads. Returns whether its entries count: of two aggregators the one with the
-    /// lower number goes on.
+    /// Handles a message with aggregated loads. Returns whether its entries are to be used: of two active
+    /// aggregators, only the one with the lower number counts.
     pub(super) fn on_aggregated(
         &mut self,
         now: Millis,
@@ -99,7 +104,7 @@
             return false;
         }
         if self.aggregator != Some(from) {
-            // A new aggregator has no reports yet.
+            // A new aggregator has no reports yet, so this scheduler sends one immediately.
             self.reported_at = f64::NEG_INFINITY;
         }
         self.aggregator = Some(from);
@@ -111,22 +116,22 @@
         true
     }
 
-    /// Sets what others occupy at a worker: `total` less `own`.
+    /// Sets the slots that the other schedulers occupy at a worker: `total` minus `own`.
     pub(super) fn set_total(&mut self, now: Millis, total: WorkerSlots, own: f64) {
         let slots = (total.slots - own).max(0.0);
         self.remote_slots[total.worker] = RemoteSlots { slots, received_at: now };
     }
 
-    /// Forgets slots that were last stated before `then`: that a worker is idle again is stated once, and that message
-    /// may have been lost.
-    pub(super) fn expire(&mut self, then: Millis) {
-        for remote in self.remote_slots.iter_mut().filter(|remote| remote.received_at < then) {
+    /// Resets slots that were last reported before `cutoff`. That a worker is idle again is reported only
+    /// once, and that message may have been lost.
+    pub(super) fn expire(&mut self, cutoff: Millis) {
+        for remote in self.remote_slots.iter_mut().filter(|remote| remote.received_at < cutoff) {
             remote.slots = 0.0;
         }
     }
 
-    /// The messages that are due. `reports`: what the other schedulers reported. `own`: the slots of this one, of which
-    /// some have `changed`.
+    /// The messages that are due. `reports`: the slots that the other schedulers reported. `own`: the slots
+    /// of this scheduler. `changed`: whether they have changed since the last call.
     pub(super) fn poll_messages<'a>(
         &mut self,
         now: Millis,
@@ -149,8 +154,8 @@
         }
     }
 
-    /// How long the aggregator is silent before this scheduler succeeds it. At the start the first one in the order of
-    /// numbers comes first.
+    /// How long this scheduler waits for a message from the aggregator before it takes over. Before the first
+    /// message, scheduler 0 waits the shortest.
     fn succession_timeout(&self) -> Millis {
         let aggregator = self.aggregator.unwrap_or(self.schedulers - 1);
         let schedulers_between = (self.ordinal + 2 * self.schedulers - aggregator - 1) % self.schedulers;
@@ -162,8 +167,8 @@
         self.next_round_at = now + ROUND_INTERVAL;
     }
 
-    /// Becomes the aggregator. It has no reports yet; the others send them in reply to its first message, which has no
-    /// entries.
+    /// Becomes the aggregator. It has no reports yet; the other schedulers send them in reply to its first
+    /// message, which has no entries.
     fn announce(&mut self) -> Vec<OutgoingMessage> {
         self.aggregator = Some(self.ordinal);
         self.broadcast = BTreeMap::new();
@@ -183,15 +188,15 @@
         for entry in reports.copied().chain(own.map(TaggedSlots::from)) {
             *totals.entry(entry.tag).or_default() += entry.slots;
         }
-        // Workers that nobody uses any more are named once.
+        // A worker that no scheduler uses any more is listed once, with 0 slots.
         for &tag in self.broadcast.keys() {
             totals.entry(tag).or_insert(0.0);
         }
         let is_full_round = self.rounds % FULL_ROUND_INTERVAL == 1;
         let last = |tag: &WorkerTag| self.broadcast.get(tag).copied().unwrap_or(0.0);
-        let is_named = |tag: &WorkerTag, slots: f64| last(tag) != slots || is_full_round && slots > 0.0;
-        let named = totals.iter().filter(|(tag, slots)| is_named(tag, **slots));
-        let entries: Vec<TaggedSlots> = named.map(|(&tag, &slots)| TaggedSlots { tag, slots }).collect();
+        let is_listed = |tag: &WorkerTag, slots: f64| last(tag) != slots || is_full_round && slots > 0.0;
+        let listed = totals.iter().filter(|(tag, slots)| is_listed(tag, **slots));
+        let entries: Vec<TaggedSlots> = listed.map(|(&tag, &slots)| TaggedSlots { tag, slots }).collect();
         totals.retain(|_, slots| *slots > 0.0);
         self.broadcast = totals;
         OutgoingMessage::to_all(encode_loads(LoadMessageKind::Aggregated, &entries))
--- a/crates/policy/src/peers/load_message.rs
+++ b/crates/policy/src/peers/load_message.rs
@@ -1,74 +1,77 @@
-//! The text of messages that state how many slots are occupied at which workers.
+//! Format of the messages that report how many slots are occupied at which workers.
 //!
 //! | part | symbols | value |
 //! | --- | --- | --- |
-//! | kind | 1 | 0: the sender's slots, 1: more of them, 2: aggregated loads |
-//! | for each worker: tag | 3 | the lowest bits of its name's hash |
+//! | kind | 1 | 0: the sender's slots, 1: continuation of them, 2: aggregated loads |
+//! | for each worker: tag | 3 | the lowest bits of the hash of its name |
 //! | for each worker: slots | 1 | rounded, at most 63 |
 
 use crate::symbols::{BITS_PER_SYMBOL, InvalidSymbol, decode, encode};
 use crate::units::WorkerId;
 
-/// Symbols of the kind, of a worker's tag, of its slots, and of both of these together.
+/// Length of the kind, in symbols.
 const KIND_SYMBOLS: usize = 1;
+/// Length of a worker's tag, in symbols.
 const TAG_SYMBOLS: usize = 3;
+/// Length of a worker's slots, in symbols.
 const SLOTS_SYMBOLS: usize = 1;
+/// Length of a worker's entry, in symbols.
 const ENTRY_SYMBOLS: usize = TAG_SYMBOLS + SLOTS_SYMBOLS;
-/// The bits of a hash that a tag holds.
+/// The bits of a hash that are used as the tag.
 const TAG_MASK: u64 = (1 << (BITS_PER_SYMBOL * TAG_SYMBOLS)) - 1;
-/// The most slots that a message can state of a worker.
+/// The most slots that an entry can hold.
 const MAX_SLOTS: f64 = 63.0;
-/// Longest message that a driver sends.
+/// The longest message that the caller of the dispatcher sends.
 pub(super) const MAX_MESSAGE_BYTES: usize = 256;
 const MAX_ENTRIES: usize = (MAX_MESSAGE_BYTES - KIND_SYMBOLS) / ENTRY_SYMBOLS;
 
-/// Names a worker in messages. Two workers may share a tag; then their slots are added up.
+/// Identifies a worker in messages. Tags can collide; the slots of workers with the same tag are added up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct WorkerTag(u32);
 
 impl WorkerTag {
-    pub(super) fn of_hash(name_hash: u64) -> Self {
+    pub(super) fn from_hash(name_hash: u64) -> Self {
         WorkerTag((name_hash & TAG_MASK) as u32)
     }
 }
 
-/// Slots that are occupied at a worker, as a message states them.
+/// A message entry: the slots that are occupied at a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct TaggedSlots {
     pub(super) tag: WorkerTag,
     pub(super) slots: f64,
 }
 
-/// Slots that are occupied at a worker that is known here.
+/// The slots that are occupied at a worker that is known here.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct WorkerSlots {
     pub(super) worker: WorkerId,
     pub(super) slots: f64,
 }
 
-/// What a message states.
+/// The kind of a load message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LoadMessageKind {
-    /// The sender's own slots; what it stated before is out of date.
+    /// The sender's own slots. It replaces the sender's earlier messages.
     Own,
-    /// More of the sender's own slots, after a message that could not hold all of them.
+    /// Continuation of the sender's own slots, which did not fit into the message before.
     OwnContinued,
-    /// The slots of all schedulers together, from the aggregator; workers that are not named have not changed.
+    /// The slots of all schedulers together, sent by the aggregator. Workers without an entry are unchanged.
     Aggregated,
 }
 
-/// The kinds by the value of their symbol.
+/// The message kinds, indexed by the value of their symbol.
 const KINDS: [LoadMessageKind; 3] =
     [LoadMessageKind::Own, LoadMessageKind::OwnContinued, LoadMessageKind::Aggregated];
 
-/// Why a text is no load message.
+/// Why a text is not a valid load message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum LoadMessageError {
-    #[error("the text is empty")]
+    #[error("load message is empty")]
     Empty,
-    #[error("unknown kind {0}")]
+    #[error("unknown load message kind {0}")]
     Kind(u64),
-    #[error("{0} bytes are no whole number of entries")]
+    #[error("load message entries take {0} bytes, which is not a multiple of the entry length")]
     Length(usize),
     #[error(transparent)]
     Symbol(#[from] InvalidSymbol),
@@ -99,7 +102,7 @@
     Ok(TaggedSlots { tag: WorkerTag(decode(tag)? as u32), slots: decode(slots)? as f64 })
 }
 
-/// Messages that state these slots: at least one, and as many as they need.
+/// Encodes entries as messages: at least one, and as many as are needed for all entries.
 pub(super) fn encode_loads(kind: LoadMessageKind, entries: &[TaggedSlots]) -> Vec<String> {
     let mut parts: Vec<&[TaggedSlots]> = entries.chunks(MAX_ENTRIES).collect();
     if parts.is_empty() {
@@ -122,12 +125,13 @@
     text
 }
 
-/// Whether a message states aggregated loads, which only one scheduler at a time should send.
+/// Whether a message contains aggregated loads, which only one scheduler at a time should send.
 pub fn is_aggregated_loads(text: &str) -> bool {
     LoadMessage::decode(text).is_ok_and(|message| message.kind == LoadMessageKind::Aggregated)
 }
 
-/// Aggregated loads as messages of at most `max_bytes` each. Together they state what the one message does.
+/// Splits a message with aggregated loads into messages of at most `max_bytes` each, with the same entries in
+/// total. If `max_bytes` does not exceed the size of a message with one entry, the message is returned whole.
 pub fn split_aggregated_loads(text: &str, max_bytes: usize) -> Vec<String> {
     if text.len() <= max_bytes || max_bytes <= KIND_SYMBOLS + ENTRY_SYMBOLS {
         return vec![text.to_owned()];
--- a/crates/policy/src/peers/load_message/tests.rs
+++ b/crates/policy/src/peers/load_message/tests.rs
@@ -1,4 +1,4 @@
-//! The text of load messages.
+//! The format of load messages.
 
 use super::*;
 
@@ -11,18 +11,18 @@
 }
 
 #[test]
-fn the_text_is_pinned() {
+fn encoded_text_is_stable() {
     let entries = [tagged(1, 2.0), tagged(0x3_ffff, 63.4), tagged(64, 99.0), tagged(65, -1.0)];
     assert_eq!(encode_loads(LoadMessageKind::Own, &entries), ["01002____010_1100"]);
     assert_eq!(encode_loads(LoadMessageKind::Aggregated, &entries[..1]), ["21002"]);
     assert_eq!(encode_loads(LoadMessageKind::Aggregated, &[]), ["2"]);
     let long = encode_loads(LoadMessageKind::Own, &[tagged(0, 1.0); 64]);
     assert_eq!((long.len(), long[0].len(), long[1].as_str()), (2, 253, "10001"));
-    assert_eq!(WorkerTag::of_hash(0xffff_ffff_ffff_fff5), WorkerTag(0x3_fff5));
+    assert_eq!(WorkerTag::from_hash(0xffff_ffff_ffff_fff5), WorkerTag(0x3_fff5));
 }
 
 #[test]
-fn loads_survive_the_message() {
+fn loads_round_trip() {
     let entries: Vec<TaggedSlots> = (0..100).map(|n| tagged(n * 2_621, f64::from(n % 5))).collect();
     let messages = encode_loads(LoadMessageKind::Own, &entries);
     assert!(messages.iter().all(|message| message.len() <= MAX_MESSAGE_BYTES));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn other_text_is_an_error_that_says_why() {
+fn invalid_text_is_a_specific_error() {
     for (text, error) in [
         ("", LoadMessageError::Empty),
         ("3", LoadMessageError::Kind(3)),
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn aggregated_loads_in_parts_state_what_the_whole_stated() {
+fn split_aggregated_loads_have_the_entries_of_the_whole_message() {
     let entries: Vec<TaggedSlots> = (0..60).map(|n| tagged(n * 31, f64::from(n % 5))).collect();
     let whole = encode_loads(LoadMessageKind::Aggregated, &entries).remove(0);
     assert!(is_aggregated_loads(&whole));
--- a/crates/policy/src/peers/mod.rs
+++ b/crates/policy/src/peers/mod.rs
@@ -1,13 +1,13 @@
-//! The loads of the other schedulers, and the messages by which schedulers state them.
+//! The loads that other schedulers put on the workers, and the messages in which schedulers report them.
 //!
-//! The schedulers of a small cluster send their loads to one another; those of a large one aggregate them. Messages may
-//! be lost, repeated or forged: none of them costs more than a wrong estimate of a worker's free slots for a short
-//! time.
+//! In a small cluster each scheduler sends its loads to all others. In a large one an aggregator collects and
+//! broadcasts them. Messages may be lost, repeated or forged: the worst effect of any of them is a wrong
+//! estimate of a worker's free slots for a short time.
 //!
-//! | module | its job |
+//! | module | content |
 //! | --- | --- |
-//! | `load_message` | the text of the messages |
-//! | `aggregation` | who adds up the loads of a large cluster, and what it sends when |
+//! | `load_message` | message format |
+//! | `aggregation` | choice of the aggregator of a large cluster, and when it sends what |
 
 mod aggregation;
 mod load_message;
@@ -19,13 +19,13 @@
 pub use load_message::{is_aggregated_loads, split_aggregated_loads};
 use std::collections::BTreeMap;
 
-/// Up to this many schedulers send their loads to one another.
+/// Maximum number of schedulers in a small cluster, where each sends its loads to all others.
 const MAX_DIRECT_SCHEDULERS: u32 = 9;
 
-/// A message for another scheduler, or for all.
+/// A message to one other scheduler or to all of them.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct OutgoingMessage {
-    /// The receiver's number; `None`: all.
+    /// The receiver's number; `None` for all schedulers.
     pub(crate) to: Option<u32>,
     pub(crate) text: String,
 }
@@ -36,7 +36,7 @@
     }
 }
 
-/// Slots that this scheduler occupies at a worker, which is named by its name's hash.
+/// Slots that this scheduler occupies at a worker, which is identified by the hash of its name.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SlotsByHash {
     pub(crate) name_hash: u64,
@@ -45,25 +45,25 @@
 
 impl From<SlotsByHash> for TaggedSlots {
     fn from(own: SlotsByHash) -> TaggedSlots {
-        TaggedSlots { tag: WorkerTag::of_hash(own.name_hash), slots: own.slots }
+        TaggedSlots { tag: WorkerTag::from_hash(own.name_hash), slots: own.slots }
     }
 }
 
-/// A worker's slots, and those of them that schedulers occupy, this one included.
+/// A worker's slots, and how many of them all schedulers occupy, including this one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct WorkerLoad {
     pub(crate) occupied: f64,
     pub(crate) slots: f64,
 }
 
-/// This scheduler's position, 0 to 1, in the order in which all schedulers may use a worker now. The order is another
-/// one in each round of the aggregation.
+/// This scheduler's position, 0 to 1, in the order in which all schedulers may use a worker now. The order
+/// changes pseudo-randomly with each aggregation round.
 pub(crate) fn turn_position(now: Millis, worker_hash: u64, ordinal: u32) -> f64 {
     let round = (now / ROUND_INTERVAL) as u64;
     rendezvous_distance(worker_hash ^ round, hash(&ordinal.to_string()))
 }
 
-/// The level up to which the lowest of some loads rise when this much is added to them, always to the lowest.
+/// Water-filling: the level to which the lowest loads rise when `added` is always added to the lowest.
 fn water_fill_level(mut loads: Vec<f64>, added: f64) -> f64 {
     loads.sort_by(f64::total_cmp);
     let (mut sum, mut level) = (added, f64::INFINITY);
@@ -77,43 +77,44 @@
     level
 }
 
-/// What another scheduler stated of its own slots.
+/// The slots that another scheduler reported that it occupies.
 #[derive(Default)]
 struct PeerReport {
     received_at: Millis,
+    /// The entries for workers that are known here.
     slots: Vec<WorkerSlots>,
-    /// In a large cluster: all entries, also those for workers that are not known here. Other schedulers may know them.
+    /// In a large cluster: all entries. Other schedulers may know workers that are not known here.
     entries: Vec<TaggedSlots>,
 }
 
-/// The slots that other schedulers occupy.
+/// The slots that other schedulers occupy at each worker.
 #[derive(Default)]
 pub(crate) struct PeerLoads {
-    /// By the scheduler's number.
+    /// The latest report of each scheduler, by its number.
     reports: BTreeMap<u32, PeerReport>,
     worker_by_tag: BTreeMap<WorkerTag, WorkerId>,
     tag_by_worker: Vec<Option<WorkerTag>>,
-    /// By worker: the sum over `reports`.
+    /// By worker: the sum of the slots in `reports`.
     reported_slots: Vec<f64>,
-    /// In a large cluster.
+    /// `None` in a small cluster.
     aggregation: Option<Aggregation>,
-    /// The load to which the least loaded workers will have risen by the next aggregated loads.
+    /// The load to which the least loaded workers are expected to rise before the next aggregated loads.
     expected_level: f64,
 }
 
 impl PeerLoads {
-    /// Nothing is known yet.
+    /// Creates the state of a scheduler that has not received any loads.
     pub(crate) fn new(now: Millis, ordinal: u32, schedulers: u32) -> Self {
         let is_large = schedulers > MAX_DIRECT_SCHEDULERS;
         let aggregation = is_large.then(|| Aggregation::new(now, ordinal, schedulers));
         PeerLoads { aggregation, ..PeerLoads::default() }
     }
 
-    /// Assigns an id to the worker of this name.
+    /// Assigns an id to the worker whose name has this hash.
     pub(crate) fn add_worker(&mut self, id: WorkerId, name_hash: u64) {
-        let tag = WorkerTag::of_hash(name_hash);
+        let tag = WorkerTag::from_hash(name_hash);
         if self.worker_by_tag.get(&tag) != Some(&id) {
-            // The id may have belonged to another worker, whose slots are not those of this one.
+            // The id may have belonged to another worker, whose tag must not refer to this one.
             self.tag_by_worker.resize(self.tag_by_worker.len().max(id + 1), None);
             if let Some(old) = self.tag_by_worker[id].replace(tag)
                 && self.worker_by_tag.get(&old) == Some(&id)
@@ -125,7 +126,7 @@
         self.reported_slots.resize(self.reported_slots.len().max(id + 1), 0.0);
     }
 
-    /// Slots that the other schedulers stated that they occupy at a worker.
+    /// Slots at a worker that the other schedulers last reported as occupied by them.
     pub(crate) fn remote_slots(&self, worker: WorkerId) -> f64 {
         match &self.aggregation {
             Some(aggregation) if !aggregation.is_aggregator() => aggregation.remote_slots(worker),
@@ -133,15 +134,17 @@
         }
     }
 
-    /// Estimates to which level the schedulers will have filled the workers by the next aggregated loads. Until then
-    /// all see the same workers as the least loaded, and send their jobs there (Dahlin, "Interpreting stale load
-    /// information", 1999). As many jobs arrive as end; `run_times`: how many of them a slot serves until then.
+    /// Estimates the level to which the schedulers will fill the least loaded workers before the next
+    /// aggregated loads arrive. Until then all schedulers see the same workers as least loaded and send their
+    /// jobs there (Dahlin, "Interpreting Stale Load Information", 1999). Assumes that as many jobs arrive as
+    /// end. `run_times`: the number of jobs that one slot completes until then.
     pub(crate) fn update_expected_level(&mut self, loads: &[WorkerLoad], run_times: f64) {
         let ending: f64 = loads.iter().map(|load| load.occupied.min(load.slots) * run_times).sum();
         self.expected_level = water_fill_level(loads.iter().map(|load| load.occupied).collect(), ending);
     }
 
-    /// Slots that the other schedulers will occupy at a worker until this one's turn there.
+    /// Slots that the other schedulers are expected to occupy at a worker when it is this scheduler's turn to
+    /// use it. `own`: the slots of this scheduler there.
     pub(crate) fn expected_remote_slots(&self, now: Millis, id: WorkerId, name_hash: u64, own: f64) -> f64 {
         let remote = self.remote_slots(id);
         match &self.aggregation {
@@ -153,12 +156,12 @@
         }
     }
 
-    /// Whether the cluster is small, so that its schedulers send their loads to one another.
+    /// Whether the cluster is small, so that each scheduler sends its loads to all others.
     pub(crate) fn is_direct(&self) -> bool {
         self.aggregation.is_none()
     }
 
-    /// Whether the loads of all schedulers are known, where there are this many.
+    /// Whether the loads of all other schedulers are known, given the total number of schedulers.
     pub(crate) fn is_complete(&self, now: Millis, schedulers: u32) -> bool {
         match &self.aggregation {
             Some(aggregation) => aggregation.is_valid(now),
@@ -166,24 +169,24 @@
         }
     }
 
-    /// Whether valid aggregated loads state what the other schedulers occupy.
+    /// Whether there are valid aggregated loads.
     pub(crate) fn has_aggregated(&self, now: Millis) -> bool {
         self.aggregation.as_ref().is_some_and(|aggregation| aggregation.is_valid(now))
     }
 
-    /// Slots that the other schedulers occupy at a worker, if valid aggregated loads state it.
+    /// Slots that the other schedulers occupy at a worker; `None` without valid aggregated loads.
     pub(crate) fn aggregated_slots(&self, now: Millis, worker: WorkerId) -> Option<f64> {
         self.has_aggregated(now).then(|| self.remote_slots(worker))
     }
 
-    /// How many other schedulers sent their loads to this one of late. What an aggregator receives is not known to the
-    /// others as well, and does not count.
+    /// The number of other schedulers that recently sent their loads to this one. It is 0 in a large cluster:
+    /// only the aggregator receives reports there, and what they say is not known to the other schedulers.
     pub(crate) fn direct_peers(&self) -> usize {
         if self.is_direct() { self.reports.len() } else { 0 }
     }
 
-    /// Takes in a message. Any other text is ignored, and so are entries for workers that are not known here. `own`:
-    /// the slots of this scheduler at a worker.
+    /// Handles a message. Text that is not a valid load message is ignored, and so are entries for workers
+    /// that are not known here. `own`: the slots of this scheduler at a worker.
     pub(crate) fn handle_message(
         &mut self,
         now: Millis,
@@ -195,7 +198,7 @@
         match kind {
             LoadMessageKind::Aggregated => self.on_aggregated(now, from, &entries, own),
             LoadMessageKind::Own => {
-                self.forget_report(from);
+                self.remove_report(from);
                 self.on_report(now, from, entries);
             }
             LoadMessageKind::OwnContinued => self.on_report(now, from, entries),
@@ -234,8 +237,8 @@
         }
     }
 
-    /// In a large cluster: the messages that are due now. `own`: the slots of this scheduler by worker, of which some
-    /// have `changed`; it is iterated only where something is sent.
+    /// In a large cluster: the messages that are due now. `own`: the slots of this scheduler by worker,
+    /// iterated only if something is sent. `changed`: whether they have changed since the last call.
     pub(crate) fn poll_messages(
         &mut self,
         now: Millis,
@@ -247,25 +250,25 @@
         aggregation.poll_messages(now, changed, entries, own)
     }
 
-    /// In a small cluster: the messages that state these slots, none if there are none.
+    /// In a small cluster: the messages that report these slots; empty if `own` is empty.
     pub(crate) fn direct_messages(own: impl Iterator<Item = SlotsByHash>) -> Vec<String> {
         let entries: Vec<TaggedSlots> = own.map(TaggedSlots::from).collect();
         if entries.is_empty() { Vec::new() } else { encode_loads(LoadMessageKind::Own, &entries) }
     }
 
-    /// Forgets what was stated before `then`, and not again since.
-    pub(crate) fn expire(&mut self, then: Millis) {
+    /// Removes loads that were last reported before `cutoff`.
+    pub(crate) fn expire(&mut self, cutoff: Millis) {
         if let Some(aggregation) = &mut self.aggregation {
-            aggregation.expire(then);
+            aggregation.expire(cutoff);
         }
-        let silent = self.reports.iter().filter(|(_, report)| report.received_at < then);
-        let silent: Vec<u32> = silent.map(|(&from, _)| from).collect();
-        for from in silent {
-            self.forget_report(from);
+        let expired = self.reports.iter().filter(|(_, report)| report.received_at < cutoff);
+        let expired: Vec<u32> = expired.map(|(&from, _)| from).collect();
+        for from in expired {
+            self.remove_report(from);
         }
     }
 
-    fn forget_report(&mut self, from: u32) {
+    fn remove_report(&mut self, from: u32) {
         let Some(report) = self.reports.remove(&from) else { return };
         for WorkerSlots { worker, slots } in report.slots {
             self.reported_slots[worker] = (self.reported_slots[worker] - slots).max(0.0);
--- a/crates/policy/src/peers/tests.rs
+++ b/crates/policy/src/peers/tests.rs
@@ -1,4 +1,4 @@
-//! What is known of other schedulers' slots by their messages.
+//! The slots of other schedulers as known from their messages.
 
 use super::*;
 
@@ -18,9 +18,9 @@
     [0, 1, 2].map(|id| loads.remote_slots(id))
 }
 
-/// Foreign, cut and garbled text costs nothing but itself, whatever the cluster's size.
+/// Foreign, truncated and corrupted text is ignored, whatever the size of the cluster.
 #[test]
-fn text_that_is_no_message_changes_nothing() {
+fn unusable_messages_leave_the_loads_unchanged() {
     for schedulers in [1, 4, 100, 200] {
         let mut loads = PeerLoads::new(0.0, 0, schedulers);
         (0..3).for_each(|id| loads.add_worker(id, 1_000 + id as u64));
@@ -28,7 +28,7 @@
             loads.handle_message(1.0, 7, text, |_| 0.0);
             assert_eq!(remote_slots(&loads), [0.0; 3], "{text}");
         }
-        // Aggregated loads of workers that are not known here, and in clusters that have none.
+        // Aggregated loads are ignored for workers that are not known here, and in small clusters.
         loads.handle_message(1.0, 7, &aggregated(&[(77, 5.0)]), |_| 0.0);
         assert_eq!(remote_slots(&loads), [0.0; 3]);
         let messages = loads.poll_messages(1.0, true, std::iter::empty());
@@ -38,22 +38,22 @@
 }
 
 #[test]
-fn aggregated_loads_count_once_received_and_expire_where_they_are_not_stated_again() {
+fn aggregated_loads_become_valid_when_received_and_expire_when_not_repeated() {
     let mut loads = PeerLoads::new(0.0, 20, 100);
     loads.add_worker(0, 1_000);
-    assert!(!loads.is_complete(0.0, 12), "nothing was received yet");
+    assert!(!loads.is_complete(0.0, 12), "complete before any loads were received");
     loads.handle_message(10.0, 3, &aggregated(&[]), |_| 0.0);
-    assert!(!loads.is_complete(10.0, 12), "a new aggregator knows nothing yet");
+    assert!(!loads.is_complete(10.0, 12), "complete although the new aggregator has no reports yet");
     let report = loads.poll_messages(10.0, false, [own(1_000, 1.0)].into_iter());
-    assert_eq!(report[0].to, Some(3), "and is sent a report at once");
+    assert_eq!(report[0].to, Some(3), "the new aggregator is not sent a report at once");
     loads.handle_message(210.0, 3, &aggregated(&[(1_000, 4.0)]), |_| 1.0);
     assert!(loads.is_complete(210.0, 12) && loads.remote_slots(0) == 3.0);
-    // That the slots came free is lost; whoever still occupies any says so each second.
+    // The message that the slots are free was lost. Slots that are still occupied are reported every second.
     loads.expire(200.0);
     assert_eq!(loads.remote_slots(0), 3.0);
     loads.expire(300.0);
     assert_eq!(loads.remote_slots(0), 0.0);
-    // Of two aggregators the lower goes on, and one that falls silent is succeeded.
+    // Of two aggregators, the one with the lower number counts. When its messages stop, the other one counts.
     loads.handle_message(400.0, 9, &aggregated(&[(1_000, 9.0)]), |_| 0.0);
     assert_eq!(loads.remote_slots(0), 0.0);
     loads.handle_message(900.0, 9, &aggregated(&[(1_000, 9.0)]), |_| 0.0);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_report_replaces_the_last_one_and_silence_ends_it() {
+fn a_report_replaces_the_previous_one_and_expires_when_not_repeated() {
     let mut loads = PeerLoads::default();
     (0..3).for_each(|id| loads.add_worker(id, 1_000 + id as u64));
     let report = |slots: &[(u64, f64)]| {
@@ -78,16 +78,17 @@
 }
 
 #[test]
-fn the_lowest_loads_rise_to_one_level() {
+fn water_filling_raises_the_lowest_loads_to_one_level() {
     assert_eq!(water_fill_level(vec![4.0, 0.0, 2.0], 1.0), 1.0);
     assert_eq!(water_fill_level(vec![4.0, 0.0, 2.0], 3.0), 2.5);
     assert_eq!(water_fill_level(vec![4.0, 0.0, 2.0], 6.0), 4.0);
 }
 
-/// By the aggregated loads one worker of 60 is idle; 60 jobs arrive until the next ones. Not all of a hundred
-/// schedulers may send theirs there, yet as many must as it takes to fill it.
+/// According to the aggregated loads, one of 60 workers is idle, and 60 jobs arrive before the next
+/// aggregated loads. If all 100 schedulers sent their jobs to the idle worker, they would overload it; but
+/// enough of them must do so to fill it.
 #[test]
-fn a_worker_that_all_see_as_idle_is_not_used_by_all() {
+fn only_some_schedulers_use_a_worker_that_all_see_as_idle() {
     let name_hash = |id: WorkerId| hash(&format!("w{id}"));
     let mut users = 0;
     for ordinal in 1..100 {
@@ -104,18 +105,18 @@
     assert!((5..50).contains(&users), "{users} of 99");
 }
 
-/// Messages may be lost: what was stated once is stated again, by whoever occupies the slots and by the aggregator.
+/// Messages may be lost, so both the scheduler that occupies slots and the aggregator repeat their messages.
 #[test]
-fn what_a_lost_message_stated_is_stated_again() {
+fn lost_messages_are_repeated() {
     let mut aggregator = PeerLoads::new(0.0, 0, 100);
     let mut other = PeerLoads::new(0.0, 1, 100);
     [&mut aggregator, &mut other].into_iter().for_each(|loads| loads.add_worker(0, 1_000));
     aggregator.poll_messages(10_000.0, false, std::iter::empty());
     other.handle_message(10_001.0, 0, &aggregated(&[]), |_| 0.0);
     let occupied = || [own(1_000, 2.0)].into_iter();
-    // The other one's first report is lost, and so is every message of the aggregator.
+    // The other scheduler's first report is lost, and so are the entries of all the aggregator's messages.
     assert_eq!(other.poll_messages(10_002.0, true, occupied()).len(), 1);
-    let mut stated: Vec<(Millis, TaggedSlots)> = Vec::new();
+    let mut broadcast: Vec<(Millis, TaggedSlots)> = Vec::new();
     for step in 1..20 {
         let now = 10_002.0 + 100.0 * f64::from(step);
         for message in other.poll_messages(now, false, occupied()) {
@@ -123,12 +124,12 @@
         }
         for message in aggregator.poll_messages(now, false, std::iter::empty()) {
             let entries = LoadMessage::decode(&message.text).expect("a load message").entries;
-            stated.extend(entries.into_iter().map(|entry| (now, entry)));
+            broadcast.extend(entries.into_iter().map(|entry| (now, entry)));
             other.handle_message(now, 0, "2", |_| 0.0);
         }
     }
-    assert!(stated.len() >= 2, "{stated:?}");
+    assert!(broadcast.len() >= 2, "{broadcast:?}");
     let expected = entries(&[(1_000, 2.0)])[0];
-    assert!(stated.iter().all(|(_, entry)| *entry == expected), "{stated:?}");
-    assert!(stated[1].0 <= stated[0].0 + 1_000.0, "{stated:?}");
+    assert!(broadcast.iter().all(|(_, entry)| *entry == expected), "{broadcast:?}");
+    assert!(broadcast[1].0 <= broadcast[0].0 + 1_000.0, "{broadcast:?}");
 }
