--- a/crates/policy/src/key_popularity.rs
+++ b/crates/policy/src/key_popularity.rs
@@ -1,17 +1,18 @@
-//! What fraction of the jobs has each affinity key, as one scheduler sees it.
+//! The fraction of jobs with each affinity key, as observed by this scheduler.
 
 use crate::measure::DecayingSum;
 use crate::units::Millis;
 use std::collections::BTreeMap;
 
-/// Counts decay to 1/e in this time: some sixty jobs, where a hundred schedulers share 300 a second.
+/// Counts decay to 1/e in this time. If 100 schedulers share 300 jobs per second, each counts about 60 jobs
+/// in it.
 const DECAY_TIME: Millis = 20_000.0;
-/// Jobs of other keys that are assumed before any were seen: a key that was seen once is not popular.
+/// Jobs with other keys that are added to those observed, so that a key seen once does not count as popular.
 const PRIOR_JOBS: f64 = 30.0;
-/// A key is forgotten when less than this is left of its count: one job, some three decay times ago.
+/// A key is removed when its count has decayed to this, which takes a single job about three decay times.
 const MIN_COUNT: f64 = 0.05;
 
-/// Decaying counts of the jobs by key.
+/// Decaying job counts by the hash of the affinity key.
 #[derive(Default)]
 pub(crate) struct KeyPopularity {
     total: DecayingSum,
@@ -20,7 +21,7 @@
 }
 
 impl KeyPopularity {
-    /// Counts a job of this key; the fraction of all jobs that have it, this one included.
+    /// Counts a job with this key. Returns the fraction of all jobs that have the key, including this one.
     pub(crate) fn record(&mut self, now: Millis, key: u64) -> f64 {
         if now >= self.next_cleanup_at {
             self.next_cleanup_at = now + DECAY_TIME;
--- a/crates/policy/src/slot_budget.rs
+++ b/crates/policy/src/slot_budget.rs
@@ -1,48 +1,51 @@
-//! The state of the slot budget. Its adjustment is decided in `dispatcher/budget.rs`.
+//! The state of the slot budget. The rules that adjust it are in `dispatcher/budget.rs`.
 
 use crate::measure::DecayingSum;
 use crate::units::Millis;
 use std::collections::VecDeque;
 
-/// How long a job waited at a worker until it started.
+/// The delay between the sending of an attempt and the start of its job.
 struct StartDelay {
     at: Millis,
-    /// In latency objectives.
-    objectives: f64,
+    /// As a multiple of the job's [`Class::slack`](crate::settings::Class::slack).
+    relative_delay: f64,
 }
 
-/// The start delays of a limited time, the oldest first.
+/// A sliding window of start delays, the oldest first.
 #[derive(Default)]
 pub(crate) struct DelayWindow(VecDeque<StartDelay>);
 
 impl DelayWindow {
-    pub(crate) fn push(&mut self, at: Millis, objectives: f64) {
-        self.0.push_back(StartDelay { at, objectives });
+    pub(crate) fn push(&mut self, at: Millis, relative_delay: f64) {
+        self.0.push_back(StartDelay { at, relative_delay });
     }
 
-    /// Forgets the delays before `then`; those that are left.
-    pub(crate) fn since(&mut self, then: Millis) -> Vec<f64> {
-        while self.0.front().is_some_and(|delay| delay.at < then) {
+    /// Removes the delays recorded before `start` and returns the others.
+    pub(crate) fn since(&mut self, start: Millis) -> Vec<f64> {
+        while self.0.front().is_some_and(|delay| delay.at < start) {
             self.0.pop_front();
         }
-        self.0.iter().map(|delay| delay.objectives).collect()
+        self.0.iter().map(|delay| delay.relative_delay).collect()
     }
 }
 
-/// The slots that this scheduler's attempts may occupy.
+/// The budget of slots that this scheduler's attempts may occupy.
 #[derive(Default)]
 pub(crate) struct SlotBudget {
+    /// The budget, divided by the number of ready workers.
     pub(crate) slots_per_worker: f64,
+    /// Slots that attempts in flight occupy.
     pub(crate) used_slots: f64,
     pub(crate) delays: DelayWindow,
     pub(crate) adjust_at: Millis,
-    /// Adjustments left until the next cut is possible.
+    /// Number of adjustments to come before the budget may be cut again.
     pub(crate) hold: u32,
-    /// Jobs within quotas had to wait for the budget since the last adjustment.
+    /// Whether a job within its quota had to wait for the budget since the last adjustment.
     pub(crate) held_back: bool,
-    /// Work that arrived within quotas, in slot-milliseconds, and the slots that it needs at least.
+    /// Work that arrived within quotas, in slot-milliseconds.
     pub(crate) quota_work: DecayingSum,
+    /// Minimum budget for jobs within their quota, in slots, derived from `quota_work`.
     pub(crate) floor: f64,
-    /// The fraction of the budget that jobs beyond quotas may use.
+    /// The fraction of the budget that late jobs and jobs beyond their quota may use.
     pub(crate) over_quota_fraction: f64,
 }
--- a/crates/policy/src/symbols/tests.rs
+++ b/crates/policy/src/symbols/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn values_come_back_and_other_bytes_are_none() {
+fn values_round_trip_and_other_bytes_are_errors() {
     for (value, symbols) in [(0, 1), (63, 1), (64, 2), (0x3_ffff, 3), (u64::MAX >> 4, 10)] {
         let mut text = String::new();
         encode(&mut text, value, symbols);
--- a/crates/policy/tests/properties.rs
+++ b/crates/policy/tests/properties.rs
@@ -1,4 +1,5 @@
-//! The four rules under arbitrary legal sequences of events. The checks themselves are in `common`.
+//! Property tests: the dispatcher's rules hold for arbitrary valid sequences of events. `common` checks them
+//! on every action.
 #![allow(missing_docs)]
 
 mod common;
@@ -12,14 +13,14 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Job { class: usize, tenant: usize, left: f64, slots: u32 },
+    Job { class: usize, tenant: usize, time_left: f64, slots: u32 },
     End { pick: usize, outcome: usize },
     Start { pick: usize },
     Disconnect { pick: usize },
     List { kind: usize, id: usize, state: usize },
-    Wait { by: f64 },
-    Stray { job: u32, attempt: usize },
-    HealthCheck { worker: usize, free: f64, held: f64 },
+    Advance { by: f64 },
+    UnexpectedReport { job: u32, attempt: usize },
+    HealthCheck { worker: usize, free: f64, in_flight: f64 },
 }
 
 const OUTCOMES: [Outcome; 8] = [
@@ -36,14 +37,15 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         6 => (0..5usize, 0..2usize, prop_oneof![Just(0.0), 0.0..9.0, 9.0..5_000.0], 1..4u32)
-            .prop_map(|(class, tenant, left, slots)| Step::Job { class, tenant, left, slots }),
+            .prop_map(|(class, tenant, time_left, slots)| Step::Job { class, tenant, time_left, slots }),
         6 => (any::<usize>(), 0..8usize).prop_map(|(pick, outcome)| Step::End { pick, outcome }),
         3 => any::<usize>().prop_map(|pick| Step::Start { pick }),
         1 => any::<usize>().prop_map(|pick| Step::Disconnect { pick }),
         2 => (0..4usize, 0..8usize, 0..4usize).prop_map(|(kind, id, state)| Step::List { kind, id, state }),
-        4 => (0.0..900.0).prop_map(|by| Step::Wait { by }),
-        1 => (0..90u32, 0..6usize).prop_map(|(job, attempt)| Step::Stray { job, attempt }),
-        1 => (0..9usize, -1e9..1e9, -1e9..1e9).prop_map(|(worker, free, held)| Step::HealthCheck { worker, free, held }),
+        4 => (0.0..900.0).prop_map(|by| Step::Advance { by }),
+        1 => (0..90u32, 0..6usize).prop_map(|(job, attempt)| Step::UnexpectedReport { job, attempt }),
+        1 => (0..9usize, -1e9..1e9, -1e9..1e9)
+            .prop_map(|(worker, free, in_flight)| Step::HealthCheck { worker, free, in_flight }),
     ]
 }
 
@@ -52,23 +54,23 @@
     WorkerEntry { readiness, started_at: (state == 1).then_some(driver.now - 900.0), ..worker(id) }
 }
 
-fn play(driver: &mut Driver, step: Step) {
+fn apply_step(driver: &mut Driver, step: Step) {
     match step {
-        Step::Job { class, tenant, left, slots } => {
-            let job = NewJob { class, tenant, time_left: left, slots: f64::from(slots), ..NewJob::default() };
+        Step::Job { class, tenant, time_left, slots } => {
+            let job = NewJob { class, tenant, time_left, slots: f64::from(slots), ..NewJob::default() };
             driver.job_with(job);
         }
         Step::End { pick, outcome } => {
-            let out = driver.in_flight();
-            if !out.is_empty() {
-                let (job, attempt) = out[pick % out.len()];
+            let in_flight = driver.in_flight();
+            if !in_flight.is_empty() {
+                let (job, attempt) = in_flight[pick % in_flight.len()];
                 driver.end_attempt(job, attempt, OUTCOMES[outcome]);
             }
         }
         Step::Start { pick } => {
-            let out = driver.in_flight();
-            if !out.is_empty() {
-                let (job, attempt) = out[pick % out.len()];
+            let in_flight = driver.in_flight();
+            if !in_flight.is_empty() {
+                let (job, attempt) = in_flight[pick % in_flight.len()];
                 driver.start(job, attempt);
             }
         }
@@ -84,9 +86,10 @@
             1 => driver.list(ListKind::Full, (0..id).map(|id| entry(driver, id, (id + state) % 4)).collect()),
             _ => driver.list(ListKind::Delta, vec![entry(driver, id, state)]),
         },
-        Step::Wait { by } => driver.advance(by),
-        // Late and invented reports change nothing; jobs in flight are left to the driver.
-        Step::Stray { job, attempt } => {
+        Step::Advance { by } => driver.advance(by),
+        // Reports for attempts that have ended or never existed must have no effect. Attempts in flight are
+        // skipped: the driver itself ends those.
+        Step::UnexpectedReport { job, attempt } => {
             if driver
                 .jobs
                 .get(&job)
@@ -104,9 +107,9 @@
                 }));
             }
         }
-        Step::HealthCheck { worker, free, held } => {
+        Step::HealthCheck { worker, free, in_flight } => {
             let report =
-                LoadReport { free_slots: Some(free), in_flight: Some(held), ..LoadReport::default() };
+                LoadReport { free_slots: Some(free), in_flight: Some(in_flight), ..LoadReport::default() };
             driver.event(Event::HealthChecked { worker, outcome: Outcome::Served, report: Some(report) });
         }
     }
@@ -121,9 +124,9 @@
         let settings = brackenledge_policy::Settings { hedged_requests, list_on_request, ..settings() };
         let mut driver = Driver::new(settings, 6, seed);
         for step in steps {
-            play(&mut driver, step);
+            apply_step(&mut driver, step);
         }
-        // Every job has its answer once the last deadline has passed.
+        // Every job has a final answer once the last deadline has passed.
         driver.advance(6_000.0);
         prop_assert!(driver.jobs.values().all(|job| job.answered.is_some()));
         Ok(())
