--- a/crates/policy/src/dispatcher/queues.rs
+++ b/crates/policy/src/dispatcher/queues.rs
@@ -29,7 +29,7 @@
         // A job that arrives at a full queue evicts the last job of the lowest weight, if its own is higher.
         let queue = &self.tenant_queues[tenant];
         let is_full = queue.depth() >= queue.max_depth;
-        let evicted = queue.last_below(lane).filter(|_| is_full);
+        let evicted = queue.last_job_below(lane).filter(|_| is_full);
         self.job_timers.push(job.queue_deadline, id);
         self.overall_run_time.observe(job.run_time, RUN_TIME_WEIGHT, 1.0);
         if job.is_within_quota {
@@ -57,7 +57,7 @@
         let mut job = Job {
             class,
             tenant,
-            is_within_quota: self.quotas.admit(now, tenant),
+            is_within_quota: self.quotas.take_token(now, tenant),
             key,
             key_popularity: key.map_or(0.0, |key| self.key_popularity.record(now, key)),
             deadline: now + new.time_left,
@@ -70,7 +70,7 @@
         let first_requested_at = now - self.request_ages.observe(class, new.time_left);
         job.objective_deadline = first_requested_at + job.run_time + self.slack(&job);
         job.is_late = now + MIN_RUN_TIME_FRACTION * job.run_time > job.objective_deadline;
-        job.lane = self.lanes.lane(self.settings.weight(class, job.is_within_quota, job.is_late));
+        job.lane = self.lanes.lane(self.settings.answer_weight(class, job.is_within_quota, job.is_late));
         let queue_deadline = now + MAX_QUEUE_TIME_FRACTION * self.slack(&job);
         job.queue_deadline = queue_deadline.min(job.deadline - DEADLINE_MARGIN);
         job
