--- a/crates/discovery/examples/discovery_load/earlier_rules.rs
+++ b/crates/discovery/examples/discovery_load/earlier_rules.rs
@@ -1,19 +1,19 @@
-//! The rules that the endpoint directory replaced, to compare with.
+//! The rules for requests to discovery that the endpoint directory replaced, for comparison.
 
 use crate::simulated_discovery::{Millis, Node};
 use brackenledge_discovery::{Command, EndpointRecord, RequestEnd, RequestId, RequestKind};
 use fastrand::Rng;
 use std::collections::VecDeque;
 
-/// A connection that isn't established within this time has failed.
+/// A connection that is not established within this time has failed.
 const CONNECT_TIMEOUT: Millis = 400.0;
-/// A watch without a response for this time gets a second one beside it.
+/// A second watch is opened beside one that has been without a response for this time.
 const SECOND_WATCH_DELAY: Millis = 1_200.0;
 /// A request without a response for this time has failed.
 const RESPONSE_TIMEOUT: Millis = 4_500.0;
-/// A watch that was answered and is silent for this time has failed.
+/// A watch whose response has begun and that is silent for this time has failed.
 const SILENCE_TIMEOUT: Millis = 2_500.0;
-/// After a failure the next watch is opened after half of this to one and a half times as much.
+/// Mean delay between a failure and the next watch; the actual delay is 0.5 to 1.5 times as long.
 const RETRY_DELAY: Millis = 2_000.0;
 /// The first watch is opened within this time of the start.
 const MAX_START_DELAY: Millis = 2_000.0;
@@ -24,12 +24,12 @@
     connected: bool,
     answered: bool,
     active_at: Millis,
-    /// A second watch was opened beside it.
+    /// A second watch was opened beside it, or it became late while another request was open.
     has_second_watch: bool,
 }
 
 impl EarlierRequest {
-    /// After so much silence the next thing happens: it fails, or a second watch is opened.
+    /// How long it may be silent until it fails or a second watch is opened beside it.
     fn next_limit(&self) -> Millis {
         match (self.answered, self.connected) {
             (true, _) => SILENCE_TIMEOUT,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// After so much silence it fails.
+    /// How long it may be silent until it fails.
     fn failure_limit(&self) -> Millis {
         match (self.answered, self.connected) {
             (true, _) => SILENCE_TIMEOUT,
@@ -49,8 +49,9 @@
     }
 }
 
-/// A scheduler by the earlier rules: a silent watch has failed, one without a response gets a second one beside it, once,
-/// and after a failure of the last one the next is opened after [`RETRY_DELAY`].
+/// A scheduler that follows the earlier rules: a silent watch has failed; a second watch is opened, once,
+/// beside one without a response; after the failure of the only open watch, the next one is opened after
+/// [`RETRY_DELAY`].
 pub struct EarlierRules {
     requests: Vec<EarlierRequest>,
     last_id: u64,
@@ -106,7 +107,7 @@
         self.next_timeout = self.requests.iter().map(limit).fold(self.retry_at, f64::min).max(now + 1.0);
     }
 
-    /// Whether the only request is late; each late one is counted as such once.
+    /// Whether the only open request is late. Each request counts as late only once.
     fn needs_second_watch(&mut self, now: Millis) -> bool {
         let is_only = self.requests.len() == 1;
         let mut is_any_late = false;
--- a/crates/discovery/examples/discovery_load/main.rs
+++ b/crates/discovery/examples/discovery_load/main.rs
@@ -1,6 +1,6 @@
-//! The load of 4 and of 40 schedulers on discovery in calm, with faulty connections and in an outage, by the endpoint
-//! directory and by the rules that it replaced. On a virtual clock; `cargo run --release -p brackenledge-discovery
-//! --example discovery_load`.
+//! Measures the load that 4 and 40 schedulers put on discovery without faults, with faulty connections and in
+//! an outage, for the endpoint directory and for the rules that it replaced. Runs on a virtual clock: `cargo
+//! run --release -p brackenledge-discovery --example discovery_load`.
 #![allow(missing_docs)]
 
 mod earlier_rules;
--- a/crates/discovery/examples/discovery_load/measurement.rs
+++ b/crates/discovery/examples/discovery_load/measurement.rs
@@ -1,24 +1,25 @@
-//! The load on discovery, and how long drains go unnoticed, in one run.
+//! Measures in one run the load on discovery and how long schedulers are unaware of drains.
 
 use crate::simulated_discovery::{Fault, Millis, Node, World, endpoint};
 use brackenledge_policy::Readiness;
 
-/// What happens to the schedulers' connections while the load is measured.
+/// The state of the connections to discovery while the load is measured.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Conditions {
     Calm,
-    /// In every second a tenth of the connections breaks updates off or falls silent, and a tenth heals.
+    /// In each second a tenth of the connections begins to break updates off or falls silent, and a tenth
+    /// recovers.
     Faults,
     Outage,
 }
 
-/// What was measured.
+/// The results of one run.
 pub struct Load {
     /// Requests by all schedulers together.
     pub requests_per_second: f64,
     pub max_requests_in_one_second: u64,
-    /// For how long a drained endpoint was still taken for ready, in milliseconds of the 5 s after its drain, on average
-    /// over schedulers and drains; `None` if nothing drained.
+    /// How long a scheduler took a drained endpoint for ready in the 5 s after its drain, in milliseconds,
+    /// averaged over schedulers and drains. `None` if nothing drained.
     pub mean_unaware: Option<Millis>,
 }
 
@@ -27,33 +28,33 @@
 const SECONDS: u32 = 60;
 const MILLIS_PER_SECOND: Millis = 1_000.0;
 const ENDPOINT_COUNT: usize = 12;
-/// The endpoint that drains and becomes ready again.
+/// The endpoint that alternately drains and becomes ready.
 pub const CHANGING_ENDPOINT: &str = "s3";
-/// The list changes this often, every other time by a drain.
+/// Interval between changes of the list. Every other change is a drain.
 const SECONDS_BETWEEN_CHANGES: u32 = 5;
-/// For so long after a drain the schedulers that don't know of it are counted.
+/// How long after a drain the schedulers that are unaware of it are counted.
 const OBSERVATION_TIME: Millis = 5_000.0;
 const OBSERVATION_STEP: Millis = 10.0;
-/// One connection in so many breaks, and one heals, in each second with faults.
+/// In each second with faults, one of this many connections becomes faulty and one recovers.
 const CONNECTIONS_PER_FAULT: usize = 10;
 
 struct Drain {
     at: Millis,
-    /// The revision of the list that first says so.
+    /// The first revision of the list that contains the drain.
     revision: u64,
 }
 
-/// The time that schedulers were unaware of drains.
+/// Accumulates the time during which schedulers are unaware of drains.
 #[derive(Default)]
 struct DrainObservation {
     drain_count: u32,
     last_drain: Option<Drain>,
-    /// Summed over drains and schedulers.
+    /// Total over all drains and schedulers.
     unaware_time: Millis,
 }
 
 impl DrainObservation {
-    /// Changes the list: a drain, or the end of one.
+    /// Changes the list by a drain or by the end of one.
     fn change_list<N: Node>(&mut self, world: &mut World<N>, is_drain: bool) {
         let readiness = if is_drain { Readiness::Draining } else { Readiness::Ready };
         world.change(endpoint(CHANGING_ENDPOINT, readiness));
@@ -61,7 +62,7 @@
         self.drain_count += u32::from(is_drain);
     }
 
-    /// Advances in small steps while the last drain is observed.
+    /// Advances the world in small steps while the last drain is observed, and adds up the unaware time.
     fn observe<N: Node>(
         &mut self,
         world: &mut World<N>,
@@ -82,8 +83,8 @@
     }
 }
 
-/// Measures the load. `is_unaware` says whether a scheduler doesn't know of a drain yet, which this revision of the list
-/// was the first to say.
+/// Measures the load. `is_unaware` tells whether a scheduler does not yet know of the drain that this
+/// revision of the list introduced.
 pub fn measure<N: Node>(nodes: Vec<N>, conditions: Conditions, is_unaware: impl Fn(&N, u64) -> bool) -> Load {
     let scheduler_count = nodes.len();
     let mut world = warmed_up_world(nodes);
@@ -124,10 +125,10 @@
 fn break_connections<N: Node>(world: &mut World<N>) {
     let count = world.nodes.len();
     for _ in 0..count.div_ceil(CONNECTIONS_PER_FAULT) {
-        let (broken, healed) = (world.rng.usize(..count), world.rng.usize(..count));
+        let (broken, recovered) = (world.rng.usize(..count), world.rng.usize(..count));
         let faults = [Fault::EndMidUpdate, Fault::StallMidUpdate, Fault::BlackHole];
         let fault = faults[world.rng.usize(..faults.len())];
         world.set_fault(broken, fault);
-        world.set_fault(healed, Fault::None);
+        world.set_fault(recovered, Fault::None);
     }
 }
--- a/crates/discovery/tests/golden.rs
+++ b/crates/discovery/tests/golden.rs
@@ -1,8 +1,8 @@
-//! The gossip messages on endpoints, pinned.
+//! Golden texts of the gossip messages on endpoints.
 //!
-//! Schedulers of two builds exchange them while a cluster is upgraded: the texts must not change with the
-//! names in the source. The expected texts were written by the build of commit 72e1d57; a test that fails here means
-//! that the wire format has changed.
+//! Schedulers of two builds exchange these messages while a cluster is upgraded, so their encoding must not
+//! change. The expected texts were written by the build of commit 72e1d57. A failure here means that the wire
+//! format has changed.
 #![allow(missing_docs)]
 
 use brackenledge_discovery::{Command, DiscoverySettings, EndpointDirectory, EndpointRecord};
@@ -39,7 +39,8 @@
     directory
 }
 
-/// What it sends to the other at its start, and then on an update of its watch with these entries.
+/// The messages that the scheduler sends to the other one at its start, and those after its watch has
+/// delivered an update with these entries.
 fn messages_sent(entries: &[(&str, Readiness)], revision: u64) -> (Vec<String>, Vec<String>) {
     let mut directory = directory(1, Readiness::Draining);
     let (mut at_start, mut later, mut updated) = (Vec::new(), Vec::new(), false);
@@ -51,7 +52,7 @@
                 for (name, readiness) in entries {
                     directory.handle_entry(1.0, request, record(name, *readiness));
                 }
-                // Whatever was due before the update is from the start.
+                // Messages that were due before the update belong to the start.
                 let mut rest = Vec::new();
                 while let Some(command) = directory.poll_command() {
                     rest.push(command);
@@ -77,17 +78,17 @@
     commands.into_iter().filter_map(text).collect()
 }
 
-/// The pull of a scheduler that has just started.
+/// The pull sent after a start.
 const PULL: &str = "!Q7000000000000000Tv1c";
-/// `s-a` drains, by revision 9.
+/// `s-a` is draining at revision 9.
 const DRAINING: &str = "!T9000000090000000yjmUy7100CNPc";
-/// `s-b` is gone, by revision 4097.
+/// `s-b` is gone at revision 4097.
 const GONE: &str = "!T1010000010100000YDIHMy200YnH3";
-/// `s-c` is gone, by revision 9.
-const GONE_FIRST: &str = "!T9000000090000000IaSpjm200hd-k";
-/// `s-c` is ready, by revision 10.
+/// `s-c` is gone at revision 9.
+const THIRD_GONE: &str = "!T9000000090000000IaSpjm200hd-k";
+/// `s-c` is ready at revision 10.
 const READY: &str = "!TA0000000A0000000IaSpjm000ESNi";
-/// All three at once, by revision 70000.
+/// `s-a` is draining, `s-b` is gone and `s-c` is ready, all at revision 70000.
 const ALL: &str = "!Tm5H00000m5H00000yjmUy7100YDIHMy200IaSpjm000SfM_";
 
 const DRAINING_ENTRY: (&str, Readiness) = ("s-a", Readiness::Draining);
@@ -99,7 +100,7 @@
     for (entries, revision, text) in [
         (&[DRAINING_ENTRY][..], 9, DRAINING),
         (&[GONE_ENTRY], 4_097, GONE),
-        (&[("s-c", Readiness::Gone)], 9, GONE_FIRST),
+        (&[("s-c", Readiness::Gone)], 9, THIRD_GONE),
         (&[READY_ENTRY], 10, READY),
         (&[DRAINING_ENTRY, GONE_ENTRY, READY_ENTRY], 70_000, ALL),
     ] {
@@ -109,7 +110,7 @@
     }
 }
 
-/// A scheduler that has done what is due at its start.
+/// A scheduler whose commands from its start have been taken.
 fn receiver_with(third: Readiness) -> EndpointDirectory {
     let mut directory = directory(0, third);
     while directory.poll_command().is_some() {}
@@ -125,9 +126,9 @@
 }
 
 #[test]
-fn a_peer_takes_the_texts_of_withdrawals_in_and_holds_the_endpoints_back() {
+fn a_peer_that_receives_the_texts_of_withdrawals_holds_the_endpoints_back() {
     assert_eq!(ready_endpoints(&receiver()), [true, true, false]);
-    for (text, ready, firsts) in [
+    for (text, ready, first_reports) in [
         (DRAINING, [false, true, false], 1),
         (GONE, [true, false, false], 1),
         (ALL, [false, false, false], 2),
@@ -135,7 +136,7 @@
         let mut directory = receiver();
         assert!(directory.handle_message(2.0, 1, text), "{text}");
         assert_eq!(ready_endpoints(&directory), ready, "{text}");
-        assert_eq!(directory.counts().first_reported_by_peer, firsts, "{text}");
+        assert_eq!(directory.counts().first_reported_by_peer, first_reports, "{text}");
     }
 }
 
@@ -144,15 +145,15 @@
     let mut directory = receiver();
     assert!(directory.handle_message(2.0, 1, READY));
     assert_eq!(ready_endpoints(&directory), [true, true, false], "no message makes an endpoint ready");
-    // By another's own list it was ready all the time.
+    // Another scheduler, whose own list reports `s-c` as ready.
     let mut directory = receiver_with(Readiness::Ready);
-    assert!(directory.handle_message(2.0, 1, GONE_FIRST));
+    assert!(directory.handle_message(2.0, 1, THIRD_GONE));
     assert_eq!(ready_endpoints(&directory), [true, true, false]);
     assert!(directory.handle_message(3.0, 1, READY));
     assert_eq!(ready_endpoints(&directory), [true, true, false], "its own list is older than the override");
 }
 
-/// What a scheduler replies to a text.
+/// The messages by which a scheduler replies to a text.
 fn replies(text: &str) -> Vec<String> {
     let mut directory = receiver();
     assert!(directory.handle_message(2.0, 1, text));
@@ -181,5 +182,8 @@
     assert_ne!(corrupt, DRAINING);
     assert!(directory.handle_message(2.0, 1, &corrupt));
     assert_eq!(ready_endpoints(&directory), [true, true, false]);
-    assert!(!directory.handle_message(2.0, 1, &DRAINING[1..]), "without its mark it is no gossip");
+    assert!(
+        !directory.handle_message(2.0, 1, &DRAINING[1..]),
+        "a text without the leading `!` is not gossip"
+    );
 }
--- a/crates/discovery/tests/gossip.rs
+++ b/crates/discovery/tests/gossip.rs
@@ -53,7 +53,7 @@
 #[test]
 fn a_watch_with_keep_alives_and_no_news_is_suspected_once_a_peer_holds_more() {
     let mut world = settled(2, &["a", "b"], true);
-    world.set_fault(0, Fault::NoNews);
+    world.set_fault(0, Fault::KeepAlivesOnly);
     // Not a drain, so that only the revision shows it.
     world.change(endpoint("c", Readiness::Ready));
     world.run_until(world.now + 1_200.0);
--- a/crates/discovery/tests/random_histories.rs
+++ b/crates/discovery/tests/random_histories.rs
@@ -1,4 +1,4 @@
-//! Random histories of three schedulers.
+//! Random histories of three schedulers, after which all statuses must agree.
 #![allow(missing_docs)]
 
 mod support;
@@ -9,7 +9,7 @@
 use support::scenarios::is_ready;
 use support::simulated_discovery::{FAULTS, Fault, World, directory, endpoint};
 
-/// One random history: changes of the list, faults of connections, outages, losses and restarts for three schedulers.
+/// Runs one random history of list changes, connection faults, outages, message loss and restarts.
 fn random_history(seed: u64) {
     let mut world = World::new((0..3).map(|n| directory(0.0, n, 3, true)).collect(), seed);
     let mut rng = fastrand::Rng::with_seed(seed);
@@ -31,18 +31,19 @@
             8 => world.message_loss = [0.0, 0.3, 0.8][rng.usize(..3)],
             _ => {
                 let node = rng.usize(..3);
-                let fresh = directory(world.now, node as u16, 3, true);
-                world.restart(node, fresh);
+                let restarted = directory(world.now, node as u16, 3, true);
+                world.restart(node, restarted);
                 known_names[node].clear();
             }
         }
-        // A drain that one scheduler has from discovery is known to all that messages reach.
+        // A scheduler that holds discovery's latest revision must not take a draining endpoint for ready.
         let since = world.now;
         let healthy = (0..3).filter(|&n| world.nodes[n].freshness() == Freshness::Fresh).collect::<Vec<_>>();
         world.run_until(since + 50.0 + 950.0 * rng.f64());
         if world.message_loss == 0.0 && !world.down && world.now - since > 200.0 {
             for &fresh in healthy.iter().filter(|&&n| world.nodes[n].freshness() == Freshness::Fresh) {
-                // Only what this one has from its own list is sure to have been sent.
+                // Only a scheduler with the latest list and a working connection is sure to have received the
+                // drain.
                 if world.nodes[fresh].revision() != Some(world.revision) || world.faults[fresh] != Fault::None
                 {
                     continue;
@@ -51,13 +52,13 @@
                     let drains = world.list.get(name).is_none_or(|entry| entry.readiness != Readiness::Ready);
                     assert!(
                         !(drains && is_ready(&world.nodes[fresh], name)),
-                        "seed {seed} step {step}: {name} is ready to the one that was sent its drain"
+                        "seed {seed} step {step}: {name} is ready at scheduler {fresh}, which got its drain"
                     );
                 }
             }
         }
     }
-    // Healed: all statuses agree, with one another and with discovery.
+    // Once all faults have ended, all statuses agree with one another and with discovery.
     world.message_loss = 0.0;
     world.set_down(false);
     (0..3).for_each(|node| world.set_fault(node, Fault::None));
@@ -65,7 +66,11 @@
     for (n, node) in world.nodes.iter().enumerate() {
         for name in &names {
             let ready = world.list.get(name).is_some_and(|entry| entry.readiness == Readiness::Ready);
-            assert_eq!(is_ready(node, name), ready, "seed {seed}: scheduler {n} on {name} once healed");
+            assert_eq!(
+                is_ready(node, name),
+                ready,
+                "seed {seed}: {name} at scheduler {n} after all faults ended"
+            );
         }
         let opened = node.counts().requests as f64;
         assert!(
--- a/crates/discovery/tests/support/mod.rs
+++ b/crates/discovery/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated discovery service with its schedulers, and what the tests of it start from.
+//! A simulated discovery service with its schedulers, and initial states and helpers for the tests.
 
 pub mod scenarios;
 pub mod simulated_discovery;
--- a/crates/discovery/tests/support/scenarios.rs
+++ b/crates/discovery/tests/support/scenarios.rs
@@ -1,21 +1,21 @@
-//! States that tests start from, and what they ask of a scheduler.
+//! Initial states of tests, and queries of a scheduler's state.
 #![allow(dead_code, missing_docs)]
 
 use super::simulated_discovery::{World, directory, endpoint};
 use brackenledge_discovery::{Command, EndpointDirectory, Freshness, RequestId};
 use brackenledge_policy::Readiness;
 
-/// A world whose schedulers all know these endpoints, by working watches.
-pub fn settled(count: u16, names: &[&str], messages: bool) -> World<EndpointDirectory> {
-    let mut world = World::new((0..count).map(|n| directory(0.0, n, count, messages)).collect(), 3);
+/// A world in which all schedulers have a working watch and know these endpoints as ready.
+pub fn settled(count: u16, names: &[&str], gossip: bool) -> World<EndpointDirectory> {
+    let mut world = World::new((0..count).map(|n| directory(0.0, n, count, gossip)).collect(), 3);
     for name in names {
         world.change(endpoint(name, Readiness::Ready));
     }
     world.start();
     world.run_until(6_000.0 + 1_000.0 * f64::from(count));
     for node in &world.nodes {
-        assert!(names.iter().all(|name| is_ready(node, name)), "{} requests in all", world.requests_opened);
-        assert_eq!(node.freshness(), Freshness::Fresh, "{} requests in all", world.requests_opened);
+        assert!(names.iter().all(|name| is_ready(node, name)), "{} requests in total", world.requests_opened);
+        assert_eq!(node.freshness(), Freshness::Fresh, "{} requests in total", world.requests_opened);
     }
     world
 }
@@ -24,7 +24,7 @@
     node.find(name).is_some_and(|id| node.is_ready(id))
 }
 
-/// How long it takes from now until one scheduler does not take the endpoint for ready.
+/// Runs the world until the endpoint is not ready at this scheduler, and returns the time that this takes.
 pub fn time_until_not_ready(
     world: &mut World<EndpointDirectory>,
     node: usize,
@@ -33,13 +33,14 @@
 ) -> f64 {
     let since = world.now;
     while is_ready(&world.nodes[node], name) {
-        assert!(world.now < since + limit, "{name} is ready {limit} ms after its drain");
+        assert!(world.now < since + limit, "{name} is still ready after {limit} ms");
         world.run_until(world.now + 1.0);
     }
     world.now - since
 }
 
-/// The gossip that a scheduler sends to another when its own watch brings these updates, one after another.
+/// The gossip that a scheduler sends to another one when its own watch delivers these updates one after
+/// another.
 pub fn gossip_of_a_watch(updates: &[(u64, &str, Readiness)]) -> Vec<String> {
     let mut sender = directory(0.0, 1, 2, true);
     sender.load_cached(0.0, 0, vec![endpoint("a", Readiness::Ready), endpoint("b", Readiness::Ready)]);
@@ -59,7 +60,8 @@
     messages
 }
 
-/// A scheduler that has restarted: it holds the cached list, and its watch has brought nothing yet.
+/// A scheduler that has restarted, and its watch. It holds the cached list, and the watch has not delivered
+/// anything yet.
 pub fn restarted() -> (EndpointDirectory, RequestId) {
     let mut node = directory(0.0, 0, 2, true);
     node.load_cached(0.0, 0, vec![endpoint("a", Readiness::Ready), endpoint("b", Readiness::Ready)]);
@@ -69,7 +71,7 @@
     (node, watch)
 }
 
-/// The requests that were opened, and those that were cancelled.
+/// Takes all commands of a scheduler. Returns the requests that they open and those that they cancel.
 pub fn requests(node: &mut EndpointDirectory) -> (Vec<RequestId>, Vec<RequestId>) {
     let (mut opened, mut cancelled) = (Vec::new(), Vec::new());
     while let Some(command) = node.poll_command() {
--- a/crates/discovery/tests/support/simulated_discovery/fault.rs
+++ b/crates/discovery/tests/support/simulated_discovery/fault.rs
@@ -1,21 +1,21 @@
 //! Faults of connections to discovery.
 
-/// What is wrong with one scheduler's connections to discovery.
+/// The fault of one scheduler's connections to discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Nothing is.
+    /// The connections work.
     None,
-    /// Bytes are accepted and never delivered, and new connections don't come up.
+    /// Bytes are accepted and never delivered, and new connections are never established.
     BlackHole,
-    /// Connections come up and requests arrive, but nothing comes back.
+    /// Connections are established and requests arrive, but no response is delivered.
     OneWay,
     /// Updates break off in their middle, and the connection ends.
     EndMidUpdate,
-    /// Updates break off in their middle, and the rest never comes.
+    /// Updates break off in their middle, and the rest never arrives.
     StallMidUpdate,
-    /// A watch that was open when it began sends keep-alives and no news.
-    NoNews,
-    /// The machine refuses connections and has ended those that were open.
+    /// Watches that were open when the fault began deliver keep-alives but no updates.
+    KeepAlivesOnly,
+    /// Connections are refused, and those that were open have ended.
     RefuseConnections,
 }
 
@@ -24,6 +24,6 @@
     Fault::OneWay,
     Fault::EndMidUpdate,
     Fault::StallMidUpdate,
-    Fault::NoNews,
+    Fault::KeepAlivesOnly,
     Fault::RefuseConnections,
 ];
--- a/crates/discovery/tests/support/simulated_discovery/mod.rs
+++ b/crates/discovery/tests/support/simulated_discovery/mod.rs
@@ -1,5 +1,5 @@
-//! Schedulers on a virtual clock: one discovery service with a queue, connections to it with their faults, and lossy
-//! messages between schedulers. A function of its seed.
+//! A simulation of schedulers on a virtual clock: one discovery service with a queue, faulty connections to
+//! it, and lossy messages between schedulers. A run is determined by its seed.
 #![allow(dead_code, missing_docs, unused_imports)]
 
 mod fault;
@@ -15,20 +15,20 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// Time that discovery takes to serve a request.
+/// Time that discovery needs to serve a request.
 pub const SERVICE_TIME: Millis = 290.0;
-/// For how long a list may be used without a watch after a request.
+/// How long a list may be used after a request while no watch is open.
 pub const MAX_LIST_AGE: Millis = 10_000.0;
 const KEEP_ALIVE_INTERVAL: Millis = 2_000.0;
-/// Between a request that is rejected, or its connection, and its end.
+/// Time from the rejection of a request, or the refusal of its connection, to the request's end.
 const REJECTION_DELAY: Millis = 0.5;
-/// Added to each timer, lest rounding bring it a little early again and again.
+/// Added to each timer, since rounding could otherwise make it fire slightly early, over and over.
 const TIMER_RESOLUTION: Millis = 0.001;
 
 #[derive(Clone, Debug, PartialEq, PartialOrd)]
 enum Event {
     Connected(usize, RequestId),
-    /// Discovery has served the request at its queue's front.
+    /// Discovery has served the request at the front of its queue.
     Served(u64),
     Update(usize, RequestId),
     KeepAlive(usize, RequestId),
@@ -39,11 +39,14 @@
 
 struct OpenRequest {
     kind: RequestKind,
-    since: u64,
-    /// The revision that it has sent so far; `None`: it waits its turn.
+    /// The revision that the scheduler held when it opened the request, until an update lowers or replaces
+    /// it.
+    since_revision: u64,
+    /// The last revision that discovery has sent in response; `None` while the request waits in the queue.
     sent_revision: Option<u64>,
-    without_news: bool,
-    dead: bool,
+    keep_alives_only: bool,
+    /// Nothing more is delivered.
+    silent: bool,
 }
 
 struct Change {
@@ -57,31 +60,37 @@
     pub faults: Vec<Fault>,
     /// Discovery is down: it rejects requests, and its watches have ended.
     pub down: bool,
-    /// Schedulers that are cut off from all others: no message leaves or reaches them.
+    /// By scheduler, whether it is cut off from its peers: no message leaves or reaches it.
     pub cut_off: Vec<bool>,
-    /// The part of the messages between schedulers that is lost.
+    /// The fraction of the messages between schedulers that is lost.
     pub message_loss: f64,
-    /// What discovery takes to serve a request.
+    /// Time that discovery needs to serve a request.
     pub service_time: Millis,
-    /// Between a change and the last watch that it is sent to.
+    /// Maximum time from a change until it is sent to a watch.
     pub max_update_delay: Millis,
     pub revision: u64,
-    /// Requests that reached discovery, and all that were opened.
+    /// Requests that have reached discovery.
     pub requests_received: u64,
+    /// All requests that schedulers have opened.
     pub requests_opened: u64,
-    /// The list, by name.
+    /// Discovery's current list, by endpoint name.
     pub list: BTreeMap<String, EndpointRecord>,
     history: Vec<Change>,
     open: Vec<BTreeMap<RequestId, OpenRequest>>,
+    /// Requests waiting for discovery: time of arrival, scheduler and request.
     queue: VecDeque<(Millis, usize, RequestId)>,
+    /// Discovery is serving a request.
     busy: bool,
+    /// Pending events: time in microseconds, sequence number, and key in `event_by_id`.
     events: BinaryHeap<Reverse<(u64, u64, usize)>>,
     event_by_id: BTreeMap<usize, Event>,
-    last_event: u64,
-    armed: Vec<Millis>,
+    last_event_id: u64,
+    /// By scheduler, when its pending timer fires; infinity if none is pending.
+    timer_at: Vec<Millis>,
     pub rng: Rng,
-    /// Messages between schedulers, and their bytes.
+    /// Messages that schedulers have sent to one another, including lost ones.
     pub messages_sent: u64,
+    /// Total size of these messages, in bytes.
     pub message_bytes_sent: u64,
 }
 
@@ -107,15 +116,15 @@
             busy: false,
             events: BinaryHeap::new(),
             event_by_id: BTreeMap::new(),
-            last_event: 0,
-            armed: vec![f64::INFINITY; count],
+            last_event_id: 0,
+            timer_at: vec![f64::INFINITY; count],
             rng: Rng::with_seed(seed),
             messages_sent: 0,
             message_bytes_sent: 0,
         }
     }
 
-    /// All nodes subscribe.
+    /// Makes all schedulers open their watches.
     pub fn start(&mut self) {
         for node in 0..self.nodes.len() {
             self.nodes[node].start_watching(self.now);
@@ -123,23 +132,23 @@
         }
     }
 
-    /// A scheduler is killed and restarts from nothing.
-    pub fn restart(&mut self, node: usize, fresh: N) {
+    /// Kills a scheduler and starts `replacement` in its place.
+    pub fn restart(&mut self, node: usize, replacement: N) {
         self.open[node].clear();
-        self.nodes[node] = fresh;
-        self.armed[node] = f64::INFINITY;
+        self.nodes[node] = replacement;
+        self.timer_at[node] = f64::INFINITY;
         self.nodes[node].start_watching(self.now);
         self.execute_commands(node);
     }
 
     fn schedule(&mut self, after: Millis, event: Event) {
-        self.last_event += 1;
-        let key = self.last_event as usize;
+        self.last_event_id += 1;
+        let key = self.last_event_id as usize;
         self.event_by_id.insert(key, event);
-        self.events.push(Reverse((((self.now + after) * 1_000.0).ceil() as u64, self.last_event, key)));
+        self.events.push(Reverse((((self.now + after) * 1_000.0).ceil() as u64, self.last_event_id, key)));
     }
 
-    /// The list changes.
+    /// Changes one entry of the list, and sends the change to all watches.
     pub fn change(&mut self, entry: EndpointRecord) {
         self.revision += 1;
         if entry.readiness == Readiness::Gone {
@@ -153,41 +162,42 @@
                 .iter()
                 .filter(|(_, o)| o.kind == RequestKind::Watch && o.sent_revision.is_some());
             for request in watches.map(|(&request, _)| request).collect::<Vec<_>>() {
-                let spread = 10.0 + (self.max_update_delay - 10.0) * self.rng.f64();
-                self.schedule(spread, Event::Update(node, request));
+                let delay = 10.0 + (self.max_update_delay - 10.0) * self.rng.f64();
+                self.schedule(delay, Event::Update(node, request));
             }
         }
     }
 
-    /// Discovery restarts: it counts revisions from the beginning, and all watches end.
+    /// Restarts discovery: revisions are counted from the beginning, and all watches end.
     pub fn restart_revisions(&mut self) {
         self.revision = 1;
         self.history.clear();
-        self.end_watches(|_| true);
+        self.end_requests(|_| true);
     }
 
     pub fn set_down(&mut self, down: bool) {
         self.down = down;
         if down {
-            self.end_watches(|_| true);
+            self.end_requests(|_| true);
         }
     }
 
     pub fn set_fault(&mut self, node: usize, fault: Fault) {
         self.faults[node] = fault;
         match fault {
-            Fault::RefuseConnections => self.end_watches(|at| at == node),
-            Fault::NoNews => {
-                self.open[node].values_mut().for_each(|open| open.without_news = open.sent_revision.is_some())
-            }
+            Fault::RefuseConnections => self.end_requests(|at| at == node),
+            Fault::KeepAlivesOnly => self.open[node]
+                .values_mut()
+                .for_each(|open| open.keep_alives_only = open.sent_revision.is_some()),
             Fault::BlackHole | Fault::OneWay => {
-                self.open[node].values_mut().for_each(|open| open.dead = true);
+                self.open[node].values_mut().for_each(|open| open.silent = true);
             }
             _ => {}
         }
     }
 
-    fn end_watches(&mut self, which: impl Fn(usize) -> bool) {
+    /// Ends all open requests of the schedulers that `which` selects.
+    fn end_requests(&mut self, which: impl Fn(usize) -> bool) {
         for node in (0..self.nodes.len()).filter(|&node| which(node)) {
             for request in self.open[node].keys().copied().collect::<Vec<_>>() {
                 self.schedule(1.0, Event::Ended(node, request));
@@ -195,9 +205,9 @@
         }
     }
 
-    /// Gives a node an input, and carries out its commands.
-    pub fn with_node(&mut self, node: usize, what: impl FnOnce(&mut N, Millis)) {
-        what(&mut self.nodes[node], self.now);
+    /// Passes an input to a scheduler and executes its commands.
+    pub fn with_node(&mut self, node: usize, input: impl FnOnce(&mut N, Millis)) {
+        input(&mut self.nodes[node], self.now);
         self.execute_commands(node);
     }
 
@@ -210,10 +220,10 @@
                         request,
                         OpenRequest {
                             kind,
-                            since: since_revision,
+                            since_revision,
                             sent_revision: None,
-                            without_news: false,
-                            dead: false,
+                            keep_alives_only: false,
+                            silent: false,
                         },
                     );
                     match self.faults[node] {
@@ -241,21 +251,20 @@
             }
         }
         let next = self.nodes[node].next_timeout();
-        if next < self.armed[node] {
-            self.armed[node] = next;
-            // A thousandth on, lest rounding bring it a hair early for ever.
+        if next < self.timer_at[node] {
+            self.timer_at[node] = next;
             self.schedule((next - self.now).max(0.0) + TIMER_RESOLUTION, Event::Timeout(node));
         }
     }
 
-    /// Runs until this time.
+    /// Advances the simulation to this time.
     pub fn run_until(&mut self, until: Millis) {
         while let Some(&Reverse((at, _, key))) = self.events.peek()
             && at as f64 / 1_000.0 <= until
         {
             self.events.pop();
             self.now = self.now.max(at as f64 / 1_000.0);
-            let event = self.event_by_id.remove(&key).expect("an event");
+            let event = self.event_by_id.remove(&key).expect("every queued event is stored under its id");
             self.handle(event);
         }
         self.now = until;
--- a/crates/discovery/tests/support/simulated_discovery/node.rs
+++ b/crates/discovery/tests/support/simulated_discovery/node.rs
@@ -1,4 +1,4 @@
-//! A scheduler as discovery and its peers see it.
+//! The scheduler's side of the simulation.
 
 use super::MAX_LIST_AGE;
 use brackenledge_discovery::{
@@ -8,7 +8,7 @@
 
 pub type Millis = f64;
 
-/// A scheduler as seen by discovery and its peers: an endpoint directory, or what stands in for it in a comparison.
+/// A scheduler in the simulation: an endpoint directory, or other rules to compare it with.
 pub trait Node {
     fn start_watching(&mut self, now: Millis);
     fn connected(&mut self, now: Millis, request: RequestId);
@@ -63,13 +63,13 @@
     }
 }
 
-pub fn directory(now: Millis, ordinal: u16, schedulers: u16, messages: bool) -> EndpointDirectory {
+pub fn directory(now: Millis, ordinal: u16, schedulers: u16, gossip: bool) -> EndpointDirectory {
     EndpointDirectory::new(
         now,
         DiscoverySettings {
             ordinal,
             schedulers,
-            gossip: messages,
+            gossip,
             push_mode: false,
             max_list_age: MAX_LIST_AGE,
             seed: 77 + u64::from(ordinal),
--- a/crates/discovery/tests/support/simulated_discovery/service.rs
+++ b/crates/discovery/tests/support/simulated_discovery/service.rs
@@ -1,4 +1,4 @@
-//! The discovery service: its queue, its watches, and what of them reaches a scheduler.
+//! The discovery service: its queue, its watches, and which of its bytes reach a scheduler despite faults.
 
 use super::{Event, Fault, KEEP_ALIVE_INTERVAL, Millis, Node, REJECTION_DELAY, TIMER_RESOLUTION, World};
 use brackenledge_discovery::{EndpointRecord, RequestEnd, RequestId, RequestKind};
@@ -9,16 +9,17 @@
 
 impl<N: Node> World<N> {
     pub(super) fn serve_next(&mut self) {
-        // A request that has waited too long fails, and costs nothing more; one that was given up is served all the same.
+        // A request that has waited too long fails without being served. One that its scheduler has given up
+        // is served nevertheless.
         while !self.busy && self.queue.front().is_some_and(|request| self.now - request.0 > MAX_QUEUE_TIME) {
-            let (_, node, request) = self.queue.pop_front().expect("a request");
+            let (_, node, request) = self.queue.pop_front().expect("the queue is not empty");
             self.schedule(REJECTION_DELAY, Event::Ended(node, request));
         }
         if !self.busy && !self.queue.is_empty() {
             self.busy = true;
-            self.last_event += 1;
-            let last_event = self.last_event;
-            self.schedule(self.service_time, Event::Served(last_event));
+            self.last_event_id += 1;
+            let last_event_id = self.last_event_id;
+            self.schedule(self.service_time, Event::Served(last_event_id));
         }
     }
 
@@ -44,8 +45,8 @@
         self.execute_commands(node);
     }
 
-    /// Whether what discovery sends does not reach this node.
-    fn is_deaf(&self, node: usize) -> bool {
+    /// Whether nothing that discovery sends reaches this scheduler.
+    fn loses_responses(&self, node: usize) -> bool {
         matches!(self.faults[node], Fault::BlackHole | Fault::OneWay)
     }
 
@@ -63,17 +64,18 @@
         node
     }
 
-    /// The request at the front of the queue has been served, if it was not given up.
+    /// The request at the front of the queue has been served. Sends the response head unless the request was
+    /// given up. Returns its scheduler.
     fn on_served(&mut self) -> Option<usize> {
         self.busy = false;
         let (since, node, request) = self.queue.pop_front()?;
         self.serve_next();
-        let deaf = self.is_deaf(node);
+        let loses_responses = self.loses_responses(node);
         if self.down || self.now - since > MAX_QUEUE_TIME {
             self.schedule(REJECTION_DELAY, Event::Ended(node, request));
         } else if let Some(open) = self.open[node].get_mut(&request) {
-            open.sent_revision = Some(open.since.min(self.revision));
-            if !deaf && !open.dead {
+            open.sent_revision = Some(open.since_revision.min(self.revision));
+            if !loses_responses && !open.silent {
                 self.nodes[node].response_head(self.now, request);
                 self.schedule(NETWORK_DELAY, Event::Update(node, request));
                 if self.open[node].get(&request).is_some_and(|open| open.kind == RequestKind::Watch) {
@@ -85,8 +87,8 @@
     }
 
     fn on_keep_alive(&mut self, node: usize, request: RequestId) -> usize {
-        if self.open[node].get(&request).is_some_and(|open| !open.dead) {
-            if !self.is_deaf(node) {
+        if self.open[node].get(&request).is_some_and(|open| !open.silent) {
+            if !self.loses_responses(node) {
                 self.nodes[node].bytes(self.now, request, false);
                 self.nodes[node].keep_alive(self.now, request);
             }
@@ -108,37 +110,40 @@
     }
 
     fn on_timeout(&mut self, node: usize) -> usize {
-        if self.now + TIMER_RESOLUTION >= self.armed[node] {
-            self.armed[node] = f64::INFINITY;
+        if self.now + TIMER_RESOLUTION >= self.timer_at[node] {
+            self.timer_at[node] = f64::INFINITY;
         }
         self.nodes[node].handle_timeout(self.now);
         node
     }
 
-    /// Discovery writes what has changed since it last did on this request.
+    /// Sends what has changed since the last update on this request.
     fn send_update(&mut self, node: usize, request: RequestId) {
-        if self.is_deaf(node) {
+        if self.loses_responses(node) {
             return;
         }
         let (now, revision) = (self.now, self.revision);
         let Some(open) = self.open[node].get_mut(&request) else { return };
         let sent_revision = open.sent_revision.unwrap_or(0);
-        let first = sent_revision == open.since.min(revision) && open.kind == RequestKind::Watch;
-        if open.dead
-            || open.without_news
+        let first = sent_revision == open.since_revision.min(revision) && open.kind == RequestKind::Watch;
+        if open.silent
+            || open.keep_alives_only
             || sent_revision > revision
             || (sent_revision == revision && !first && open.kind == RequestKind::Watch)
         {
             return;
         }
-        // Who holds nothing, or more than there is, gets the whole list.
+        // A scheduler that holds no revision, or one that discovery does not know, receives the whole list.
         let known = self.history.first().is_some_and(|change| change.revision <= sent_revision + 1)
             || sent_revision == revision;
-        let snapshot = open.kind == RequestKind::Poll || open.since == 0 || open.since > revision || !known;
+        let snapshot = open.kind == RequestKind::Poll
+            || open.since_revision == 0
+            || open.since_revision > revision
+            || !known;
         open.sent_revision = Some(revision);
-        open.since = open.since.min(revision);
+        open.since_revision = open.since_revision.min(revision);
         if snapshot {
-            open.since = revision;
+            open.since_revision = revision;
         }
         let entries: Vec<EndpointRecord> = if snapshot {
             self.list.values().cloned().collect()
@@ -160,14 +165,14 @@
             if fault == Fault::EndMidUpdate {
                 self.schedule(2.0, Event::Ended(node, request));
             } else if let Some(open) = self.open[node].get_mut(&request) {
-                open.dead = true;
+                open.silent = true;
             }
             return;
         }
         self.nodes[node].update(now, request, revision, snapshot);
         self.nodes[node].bytes(now, request, false);
-        let fetched = self.open[node].get(&request).is_some_and(|open| open.kind == RequestKind::Poll);
-        if fetched {
+        let is_poll = self.open[node].get(&request).is_some_and(|open| open.kind == RequestKind::Poll);
+        if is_poll {
             self.open[node].remove(&request);
             self.nodes[node].request_end(now, request, RequestEnd::Complete);
         }
