--- a/crates/discovery/src/client.rs
+++ b/crates/discovery/src/client.rs
@@ -231,7 +231,7 @@
             }
             _ => updated,
         };
-        if self.open_watches() > 1 || self.rotate_watch_at.is_infinite() {
+        if self.open_watch_count() > 1 || self.rotate_watch_at.is_infinite() {
             self.schedule_watch_rotation(now);
         }
         self.cancel_watches(|request| request.id != kept);
@@ -309,7 +309,7 @@
         if self.watching { next.min(self.rotate_watch_at) } else { next }
     }
 
-    fn open_watches(&self) -> usize {
+    fn open_watch_count(&self) -> usize {
         self.requests.iter().filter(|request| request.is_watch()).count()
     }
 
@@ -318,7 +318,7 @@
     }
 
     fn wants_watch(&self) -> bool {
-        let open = self.open_watches();
+        let open = self.open_watch_count();
         let needs_replacement =
             !self.requests.iter().any(Request::is_unsuspected_watch) && open < MAX_WATCHES;
         let needs_second_watch = self.second_watch_requested.is_some() && open < 2;
@@ -395,7 +395,7 @@
             RequestKind::Poll => self.poll_requested = false,
             RequestKind::Watch => self.second_watch_requested = None,
         }
-        let is_second_watch = kind == RequestKind::Watch && self.open_watches() > 0;
+        let is_second_watch = kind == RequestKind::Watch && self.open_watch_count() > 0;
         self.requests.push(Request::new(now, id, kind));
         self.commands.push_back(ClientCommand::Open { request: id, kind, reason, is_second_watch });
     }
@@ -404,7 +404,7 @@
     fn open_reason(&self, kind: RequestKind) -> OpenReason {
         match self.second_watch_requested {
             _ if kind == RequestKind::Poll => OpenReason::PollRequested,
-            _ if self.open_watches() == 0 => OpenReason::NoWatch,
+            _ if self.open_watch_count() == 0 => OpenReason::NoWatch,
             Some(reason) => reason,
             None => OpenReason::WatchesSuspected,
         }
--- a/crates/discovery/tests/connection_faults.rs
+++ b/crates/discovery/tests/connection_faults.rs
@@ -167,7 +167,7 @@
 
 /// In push mode, updates that discovery sends after an outage count as received at once.
 #[test]
-fn in_push_mode_a_drain_at_the_end_of_an_outage_is_known_within_its_grace() {
+fn in_push_mode_a_drain_at_the_end_of_an_outage_is_known_within_the_grace_period() {
     for (count, seconds, silent) in
         [4, 300].into_iter().flat_map(|n| [(n, 1, false), (n, 25, false), (n, 1, true), (n, 25, true)])
     {
--- a/crates/discovery/tests/watches.rs
+++ b/crates/discovery/tests/watches.rs
@@ -46,7 +46,7 @@
         let (opened, took) = (world.requests_opened - before, world.now - since);
         let minimum = f64::from(restarted) * SERVICE_TIME;
         println!(
-            "{count} schedulers, {restarted} restarted: {opened} requests, {took:.0} ms (minimum {minimum:.0})"
+            "{count} schedulers, {restarted} restarts: {opened} requests, {took:.0} ms (minimum {minimum:.0})"
         );
         assert!(opened <= u64::from(restarted) * 5, "{count} schedulers: {opened} requests");
         assert!(took < 1_500.0 + 2.0 * minimum, "{count} schedulers: {took} ms (minimum {minimum})");
