--- a/crates/discovery/tests/gossip.rs
+++ b/crates/discovery/tests/gossip.rs
@@ -53,7 +53,7 @@
 #[test]
 fn a_watch_that_sends_only_keep_alives_is_suspected_once_a_peer_holds_a_newer_revision() {
     let mut world = settled(2, &["a", "b"], true);
-    world.set_fault(0, Fault::NoNews);
+    world.set_fault(0, Fault::KeepAlivesOnly);
     // Gossip does not add endpoints, so the first scheduler learns of this change only by its revision.
     world.change(endpoint("c", Readiness::Ready));
     world.run_until(world.now + 1_200.0);
