--- a/crates/failover/src/client_job.rs
+++ b/crates/failover/src/client_job.rs
@@ -1,33 +1,33 @@
-//! A job that clients of this process wait for, or that it owns.
+//! The local state of a job that clients of this process wait for, or that this process owns.
 
 use crate::RETRY_AFTER_MS;
 use crate::command::Waiter;
 use crate::job_record::{AttemptRecord, Execution, JobOutcome, JobRecord};
 use brackenledge_leases::Micros;
 
-/// How far this process has come with claiming a job.
+/// The state of this process's claim to a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum ClaimState {
-    /// The coordinator has been asked, or will be once there is a member list with us on it.
+    /// The claim was sent to the coordinator, or will be once a member list includes this process.
     Pending,
-    /// Another process owns it; we wait for its outcome.
+    /// Another process owns the job; this one waits for its outcome.
     Attached,
-    /// We own it.
+    /// This process owns the job.
     Owned,
-    /// We run it without replicas.
+    /// This process runs the job without replicas.
     Unreplicated,
-    /// We run it, and claim it if it does not end soon.
+    /// This process runs the job, and claims it if it has not ended after `Settings::replication_delay`.
     ReplicationDeferred,
 }
 
-/// An attempt that waits for its record to be acknowledged.
+/// An attempt that is not sent until the replicas have acknowledged its record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingAck {
     /// The attempt's number in the record.
     pub(crate) number: u32,
-    /// The version of the record that has the attempt.
+    /// The first version of the record that contains the attempt.
     pub(crate) version: u32,
-    /// After that it may not leave any more.
+    /// The attempt expires if it is not permitted by then.
     pub(crate) deadline: Micros,
 }
 
@@ -35,32 +35,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct WaitingClient {
     pub(crate) waiter: Waiter,
-    /// It waits until then.
+    /// The client's own deadline, which may differ from the job's.
     pub(crate) deadline: Micros,
 }
 
-/// A job that clients of this process wait for, or that it owns.
+/// A job that clients of this process wait for, or that this process owns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ClientJob {
     pub(crate) state: ClaimState,
     pub(crate) record: JobRecord,
     pub(crate) clients: Vec<WaitingClient>,
-    /// It is rejected rather than run without replicas.
+    /// Whether the job is rejected rather than run without replicas.
     pub(crate) requires_replication: bool,
-    /// When it was submitted or taken over, or when its claim began.
+    /// When the claim began; before that, when the job was submitted or taken over.
     pub(crate) since: Micros,
-    /// The driver runs it.
+    /// Whether the driver has been told to run the job.
     pub(crate) started: bool,
-    /// It was taken over from another owner.
+    /// Whether the job was taken over from another owner.
     pub(crate) taken_over: bool,
-    /// Another process owns it or may own it: it may have run although the local record has no such attempt.
+    /// Whether another process may own the job or have owned it: the job may have run although the local
+    /// record has no such attempt.
     pub(crate) possibly_lost: bool,
-    /// Replicated up to this version.
+    /// The version up to which the record is replicated; `None` before the first acknowledgement under the
+    /// member list in force.
     pub(crate) acked_version: Option<u32>,
     pub(crate) pending_acks: Vec<PendingAck>,
-    /// The number of the first attempt under this claim: the driver counts its attempts from 0.
+    /// The number in the record of the first attempt under this claim; the driver counts its attempts from 0.
     pub(crate) first_attempt: u32,
-    /// Its outcome, while it is not certain that we still owned the job when it ended.
+    /// The outcome, while it is uncertain whether this process still owned the job when it ended.
     pub(crate) unconfirmed_outcome: Option<JobOutcome>,
 }
 
@@ -88,12 +90,12 @@
         }
     }
 
-    /// Whether an attempt still waits for acknowledgement.
+    /// Whether the attempt's record has not been acknowledged yet.
     fn awaits_ack(&self, number: u32) -> bool {
         self.pending_acks.iter().any(|pending| pending.number == number)
     }
 
-    /// Attempts that still wait for acknowledgement have not left, and will not.
+    /// Marks the attempts without an acknowledgement as never run: they were not sent and will not be.
     pub(crate) fn mark_pending_never_ran(&mut self) {
         let pending = &self.pending_acks;
         for attempt in &mut self.record.attempts {
@@ -103,7 +105,7 @@
         }
     }
 
-    /// Whether it has not ended, and no attempt of it has left, here or elsewhere, as far as is recorded.
+    /// Whether the job has not ended and, according to the record, no process has sent an attempt of it.
     pub(crate) fn is_unsent(&self) -> bool {
         let unsent = |attempt: &AttemptRecord| {
             attempt.execution == Execution::NeverRan || self.awaits_ack(attempt.number)
@@ -111,7 +113,8 @@
         self.record.outcome.is_none() && self.record.attempts.iter().all(unsent)
     }
 
-    /// Another process owns it: the attempts recorded under this claim were refused, and have not left.
+    /// Attaches the job to its owner, which is another process. The attempts recorded under this claim were
+    /// rejected and not sent, so they are removed.
     pub(crate) fn attach(&mut self) {
         let first_attempt = self.first_attempt;
         self.pending_acks.clear();
@@ -120,7 +123,8 @@
         self.state = ClaimState::Attached;
     }
 
-    /// The outcome for its clients when it is given up here.
+    /// The outcome for local clients if this process abandons the job now: `Failed` if it may have run, here
+    /// or elsewhere, otherwise `Rejected`.
     pub(crate) fn outcome_if_abandoned(&self) -> JobOutcome {
         let may_have_run = |attempt: &AttemptRecord| {
             attempt.execution == Execution::MayHaveRun && !self.awaits_ack(attempt.number)
--- a/crates/failover/src/command.rs
+++ b/crates/failover/src/command.rs
@@ -1,4 +1,4 @@
-//! What the state machine takes from its driver, and what it asks of it.
+//! The interface to the driver: job submissions as inputs, commands and events as outputs.
 
 use crate::job_key::JobKey;
 use crate::job_record::{JobOutcome, PriorExecution};
@@ -6,7 +6,7 @@
 use brackenledge_leases::{Micros, ProcessId, Term};
 use std::sync::Arc;
 
-/// A client that waits for a job's outcome, by a number that the driver has given it.
+/// The driver's number for a client that waits for a job's outcome.
 pub type Waiter = u64;
 
 /// A job as a client submits it.
@@ -14,15 +14,16 @@
 pub struct JobSubmission {
     /// What to run, encoded by the driver.
     pub payload: Arc<[u8]>,
-    /// Its class forbids some repeats: no attempt leaves before replicas have acknowledged its record.
+    /// Whether the class forbids some repeats. If so, no attempt is sent before replicas have acknowledged
+    /// its record.
     pub requires_ack: bool,
-    /// It is rejected rather than run without replicas.
+    /// Whether the job is rejected rather than run without replicas.
     pub requires_replication: bool,
-    /// Its deadline.
+    /// The client's deadline, by the caller's clock.
     pub deadline: Micros,
 }
 
-/// What the driver is to do.
+/// An instruction to the driver.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
     /// Send a message to another process.
@@ -31,7 +32,7 @@
         to: ProcessId,
         /// The message.
         message: Message,
-        /// Send it at once; otherwise it may be batched with later messages.
+        /// Whether to send it at once; otherwise it may be batched with later messages.
         urgent: bool,
     },
     /// Run a job that this process owns or runs unreplicated.
@@ -40,35 +41,35 @@
         key: JobKey,
         /// What to run, as it was submitted.
         payload: Arc<[u8]>,
-        /// Its deadline.
+        /// The job's deadline, by the caller's clock.
         deadline: Micros,
-        /// The attempt of an earlier owner that may have run, if there is one.
+        /// The first attempt of an earlier owner that may have run, if there is one.
         prior_execution: Option<PriorExecution>,
-        /// It was taken over from another owner.
+        /// Whether the job was taken over from another owner.
         taken_over: bool,
     },
-    /// An attempt that waited for acknowledgement may leave.
+    /// Send an attempt whose record has now been acknowledged.
     PermitAttempt {
         /// The job.
         key: JobKey,
         /// The attempt, as given to [`crate::Failover::request_attempt`].
         attempt: u32,
     },
-    /// An attempt that waited for acknowledgement will never leave.
+    /// Give up an attempt that was requested: its record was not acknowledged in time, or the job is gone.
     AttemptExpired {
         /// The job.
         key: JobKey,
         /// The attempt, as given to [`crate::Failover::request_attempt`].
         attempt: u32,
     },
-    /// Tell clients the outcome of their job.
+    /// Answer clients with the outcome of their job.
     Answer {
         /// The clients.
         waiters: Vec<Waiter>,
-        /// Its outcome.
+        /// The job's outcome.
         outcome: JobOutcome,
     },
-    /// This process may not run the job any more: cancel its attempts and ignore their results.
+    /// Stop running the job: cancel its attempts and ignore their results.
     Revoke {
         /// The job.
         key: JobKey,
@@ -77,23 +78,23 @@
     Event(Event),
 }
 
-/// Something that operators want to know.
+/// An event for the operators' log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// This process is no longer on the member list; others take over the jobs it owned.
+    /// This process is no longer on the member list; other processes take over the jobs that it owned.
     ExcludedFromMembers {
         /// The member list's term.
         term: Term,
-        /// Jobs that it owned.
+        /// The number of jobs that it owned.
         lost_jobs: usize,
     },
     /// As coordinator, this process has taken over jobs whose owners are gone.
     JobsTakenOver {
         /// The member list's term.
         term: Term,
-        /// Jobs taken over.
+        /// The number of jobs taken over.
         jobs: usize,
-        /// Those of them of which an attempt may have run.
+        /// How many of them have an attempt that may have run.
         may_have_run: usize,
     },
 }
--- a/crates/failover/src/coordinator/mod.rs
+++ b/crates/failover/src/coordinator/mod.rs
@@ -1,4 +1,4 @@
-//! The coordinator of a key: it grants the job to one owner at a time, and keeps its record replicated.
+//! The coordinator of a key grants the job to one owner at a time and keeps its record replicated.
 
 mod replication;
 mod takeover;
@@ -8,7 +8,7 @@
 use crate::{Failover, Message, Micros, ProcessId, RETRY_AFTER_MS};
 use std::sync::Arc;
 
-/// A claim that waits until all members' reports are complete.
+/// A claim that is decided once the reports of all members are complete.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct DeferredClaim {
     claimant: ProcessId,
@@ -16,12 +16,12 @@
 }
 
 impl DeferredClaim {
-    fn is(&self, claimant: ProcessId, key: &JobKey, claim_id: u64) -> bool {
+    fn matches(&self, claimant: ProcessId, key: &JobKey, claim_id: u64) -> bool {
         self.claimant == claimant && self.record.key == *key && self.record.claim_id == claim_id
     }
 }
 
-/// A job that a member has reported to own under the member list in force.
+/// A job that a member has reported as its own under the member list in force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ReportedJob {
     owner: ProcessId,
@@ -49,7 +49,8 @@
         }
     }
 
-    /// Grants a job to its claimant, or replies that another process owns it or how it ended.
+    /// Grants a job to its claimant once the record is replicated, or replies that another process owns it,
+    /// that it has ended, or that there is no capacity.
     fn decide_claim(&mut self, now: Micros, claimant: ProcessId, snapshot: RecordSnapshot) {
         let (key, mut record) = snapshot.into_record(now);
         let (term, claim_id) = (self.term, record.claim_id);
@@ -57,7 +58,7 @@
             return;
         }
         if let Some(replica) = self.replicas.get(&key) {
-            keep_executions(&mut record, &replica.record);
+            merge_prior_executions(&mut record, &replica.record);
         }
         if !self.has_capacity(record.size()) {
             self.send(claimant, Message::CapacityExceeded { term, key, claim_id });
@@ -73,13 +74,13 @@
         self.ensure_replicated(now, &key);
     }
 
-    /// Refuses a claim of a job that has ended or has another owner; whether it did.
+    /// Rejects a claim to a job that has ended or has another owner, and returns whether it did.
     fn refuse_claim(&mut self, claimant: ProcessId, key: &JobKey, claim_id: u64) -> bool {
         let Some(replica) = self.replicas.get(key) else { return false };
         let record = &replica.record;
-        let owner_gone = !self.lists(record.owner);
+        let owner_gone = !self.is_listed(record.owner);
         let outcome = match &record.outcome {
-            // Its deadline was over when its owner was lost, and nobody took it over.
+            // Its deadline had passed when its owner was lost, so no process took it over.
             None if owner_gone && record.requires_ack && record.may_have_run() => Some(JobOutcome::Failed),
             outcome => outcome.clone(),
         };
@@ -91,7 +92,7 @@
             return false;
         }
         if record.owner == claimant {
-            // An older claim than the record's: the claimant has taken the job over itself since.
+            // The record's claim is newer: the claimant itself has taken the job over since it sent this one.
             return record.claim_id > claim_id;
         }
         if let Some(replica) = self.replicas.get_mut(key).filter(|known| !known.attached.contains(&claimant))
@@ -103,7 +104,7 @@
         true
     }
 
-    /// Whether the sender of a message owns the job; if not, its ownership is revoked.
+    /// Whether the sender of a message owns the job under this claim; if not, sends it `OwnershipRevoked`.
     fn check_owner(&mut self, from: ProcessId, key: &JobKey, claim_id: u64) -> bool {
         if self.replicas.get(key).is_some_and(|replica| replica.is_owned_by(from, claim_id)) {
             return true;
@@ -113,8 +114,8 @@
         false
     }
 
-    /// Whether an owner's change of a record is to be applied: as its coordinator if it is the owner's, as a further
-    /// replica if the coordinator has forwarded it.
+    /// Whether to apply an owner's change to a record. The coordinator accepts it from the owner, a further
+    /// replica only from the coordinator, which forwards it.
     fn accepts_change(&mut self, from: ProcessId, key: &JobKey, claim_id: u64) -> bool {
         match self.is_coordinator(key) {
             true => self.check_owner(from, key, claim_id),
@@ -128,7 +129,7 @@
         else {
             return;
         };
-        let deferred = self.deferred_claims.iter_mut().find(|claim| claim.is(from, key, claim_id));
+        let deferred = self.deferred_claims.iter_mut().find(|claim| claim.matches(from, key, claim_id));
         if let Some(DeferredClaim { record, .. }) = deferred {
             record.attempts.retain(|attempt| attempt.number != number);
             record.attempts.push(AttemptSnapshot { number, worker: Arc::clone(worker), execution, age: 0 });
@@ -179,7 +180,7 @@
     pub(crate) fn handle_discard(&mut self, from: ProcessId, key: JobKey, claim_id: u64) {
         let term = self.term;
         if self.is_coordinator(&key) {
-            self.deferred_claims.retain(|claim| !claim.is(from, &key, claim_id));
+            self.deferred_claims.retain(|claim| !claim.matches(from, &key, claim_id));
             let unfinished = self.replicas.get(&key).filter(|replica| replica.record.outcome.is_none());
             if !unfinished.is_some_and(|replica| replica.is_owned_by(from, claim_id)) {
                 return;
@@ -202,8 +203,8 @@
     }
 }
 
-/// Adds to a claimant's record the attempts of an earlier owner that may have run.
-fn keep_executions(record: &mut JobRecord, earlier: &JobRecord) {
+/// Adds the attempts that may have run under an earlier owner to a claimant's record.
+fn merge_prior_executions(record: &mut JobRecord, earlier: &JobRecord) {
     let may_have_run = earlier.attempts.iter().filter(|attempt| attempt.execution == Execution::MayHaveRun);
     for attempt in may_have_run {
         if !record.attempts.iter().any(|known| known.number == attempt.number) {
--- a/crates/failover/src/coordinator/replication.rs
+++ b/crates/failover/src/coordinator/replication.rs
@@ -1,10 +1,12 @@
-//! The coordinator keeps a record at as many replicas as are wanted, and confirms to the owner the version that they have.
+//! The coordinator keeps each record at the wanted number of replicas, and confirms to the owner which
+//! version they have acknowledged.
 
 use crate::job_key::JobKey;
 use crate::{Failover, Message, Micros, ProcessId};
 
 impl Failover {
-    /// Brings a record to as many replicas as are wanted, and confirms its last version to the owner once they have it.
+    /// Sends a record to further replicas until it has the wanted number of them, and confirms its current
+    /// version to the owner once the needed number have acknowledged it.
     pub(super) fn ensure_replicated(&mut self, now: Micros, key: &JobKey) {
         if !self.all_reported {
             return;
@@ -12,11 +14,11 @@
         let Some(replica) = self.replicas.get(key) else { return };
         let owner = replica.record.owner;
         let urgent = replica.record.requires_ack && replica.record.outcome.is_none();
-        // Neither we nor the owner can be a further replica; all others on the list can.
-        let others = self.members.len() - 1 - usize::from(owner != self.local);
-        let owner_counts = usize::from(owner != self.local);
-        let needed = self.settings.replication_factor.saturating_sub(owner_counts).min(others);
-        let wanted = (needed + replica.extra_replicas).min(others);
+        // All members except this process and the owner can be further replicas.
+        let eligible = self.members.len() - 1 - usize::from(owner != self.local);
+        let coordinator_copies = usize::from(owner != self.local);
+        let needed = self.settings.replication_factor.saturating_sub(coordinator_copies).min(eligible);
+        let wanted = (needed + replica.extra_replicas).min(eligible);
         let added = self.add_replicas(key, wanted);
         let replica = self.replicas.get(key).filter(|_| !added.is_empty());
         let snapshot = replica.map(|replica| replica.record.snapshot(now, key));
@@ -30,8 +32,8 @@
         }
     }
 
-    /// Chooses further replicas of a record until there are as many as wanted; returns the new ones. One in a zone that
-    /// neither we nor the owner nor another replica is in goes first.
+    /// Chooses further replicas of a record until it has the wanted number, and returns the new ones. Members
+    /// in zones without the coordinator, the owner or another replica are preferred.
     fn add_replicas(&mut self, key: &JobKey, wanted: usize) -> Vec<ProcessId> {
         let Some(replica) = self.replicas.get_mut(key) else { return Vec::new() };
         if replica.acked_versions.len() >= wanted {
@@ -47,17 +49,18 @@
         while replica.acked_versions.len() < wanted {
             let holders =
                 [local.ordinal, owner.ordinal].into_iter().chain(replica.acked_versions.keys().copied());
-            let covered: Vec<Option<u32>> = holders.map(zone).collect();
-            let next =
-                (0..candidates.len()).min_by_key(|&at| covered.contains(&zone(candidates[at].ordinal)));
-            let Some(next) = next.map(|at| candidates.remove(at)) else { break };
+            let covered_zones: Vec<Option<u32>> = holders.map(zone).collect();
+            let next = (0..candidates.len())
+                .min_by_key(|&index| covered_zones.contains(&zone(candidates[index].ordinal)));
+            let Some(next) = next.map(|index| candidates.remove(index)) else { break };
             replica.acked_versions.insert(next.ordinal, None);
             added.push(next);
         }
         added
     }
 
-    /// The message that confirms to the owner that enough replicas have the record's version, unless it was confirmed before.
+    /// Returns the message that confirms to the owner that enough replicas have the record's current version,
+    /// or `None` if they do not or if that version is already confirmed.
     fn confirm_version(&mut self, now: Micros, key: &JobKey, needed: usize) -> Option<Message> {
         let term = self.term;
         let replica = self.replicas.get_mut(key)?;
@@ -94,7 +97,7 @@
         }
     }
 
-    /// Handles an acknowledgement: of a replica to us as coordinator, or of the coordinator to us as owner.
+    /// Handles an acknowledgement, which a replica sends to the coordinator and the coordinator to the owner.
     pub(crate) fn handle_ack(
         &mut self,
         now: Micros,
@@ -115,9 +118,9 @@
     }
 
     /// Adds a replica to each record whose replicas have not acknowledged it in time.
-    pub(crate) fn replace_silent_replicas(&mut self, now: Micros) {
+    pub(crate) fn replace_unresponsive_replicas(&mut self, now: Micros) {
         let timeout = self.settings.replica_timeout;
-        // Where many are silent, more replicas would not help.
+        // If many replicas do not answer, more of them would not help.
         let max_extra = 2 * self.settings.replication_factor;
         for key in self.awaiting_replicas.clone() {
             let Some(replica) = self.replicas.get_mut(&key) else { continue };
--- a/crates/failover/src/coordinator/takeover.rs
+++ b/crates/failover/src/coordinator/takeover.rs
@@ -1,4 +1,4 @@
-//! What members report under a new member list, and the takeover of jobs whose owners are gone.
+//! Handles the reports that members send under a new member list, and takes over jobs whose owners are gone.
 
 use super::{DeferredClaim, ReportedJob};
 use crate::job_key::JobKey;
@@ -7,15 +7,16 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// What becomes of a record once all members' reports are complete.
+/// What the coordinator does with a record once the reports of all members are complete.
 enum Resolution {
-    /// It stays, and is replicated under the new member list.
+    /// Keep it and replicate it under the new member list.
     Keep,
-    /// Its owner is gone: we take the job over.
+    /// The owner is gone: take the job over.
     TakeOver,
-    /// Its owner is gone, its deadline is over, and it may have run: it must not run again when its client comes late.
+    /// The owner is gone, the deadline has passed, and the job may have run: record that it failed, so that a
+    /// late submission does not run it again.
     Fail,
-    /// Nobody waits for it, or its owner does not have it any more.
+    /// Drop it: the deadline has passed, so nobody waits for the job, or its owner no longer has it.
     Drop,
 }
 
@@ -43,7 +44,8 @@
         self.store_if_newer(now, &key, record);
     }
 
-    /// All members' reports are complete: what we hold as coordinator is all there is.
+    /// Called once the reports of all members are complete: this process now holds every record of the keys
+    /// that it coordinates. Takes over the jobs without an owner, then decides the deferred claims.
     pub(crate) fn handle_all_reported(&mut self, now: Micros) {
         self.revoke_superseded();
         let reclaimed = self.reclaimed_jobs();
@@ -67,8 +69,9 @@
         }
     }
 
-    /// Jobs that their owners claim again by the same claim, since the grant has not reached them. No attempt under it has
-    /// left, so that the claim decides, and not the record.
+    /// Returns the jobs that their owners claim again under the same claim number, because the grant has not
+    /// reached them. No attempt has been sent under such a claim, so these jobs are decided by their
+    /// claims, not by their records.
     fn reclaimed_jobs(&self) -> BTreeSet<JobKey> {
         let reclaims = |claim: &&DeferredClaim| {
             let replica = self.replicas.get(&claim.record.key);
@@ -78,7 +81,7 @@
         self.deferred_claims.iter().filter(reclaims).map(|claim| claim.record.key.clone()).collect()
     }
 
-    /// Tells members which of the jobs that they reported have a newer owner.
+    /// Tells members which of the jobs that they reported have a newer owner or claim.
     fn revoke_superseded(&mut self) {
         let term = self.term;
         for ReportedJob { owner, key, claim_id } in std::mem::take(&mut self.reported_jobs) {
@@ -91,9 +94,9 @@
     fn resolution(&self, now: Micros, key: &JobKey) -> Option<Resolution> {
         let replica = self.replicas.get(key)?;
         let record = &replica.record;
-        // An owner that was removed and is a member again does not know any more what it had sent.
-        let forgotten = !replica.owner_reported && record.may_have_run();
-        let owner_gone = !self.lists(record.owner) || forgotten;
+        // An owner that was excluded and is a member again no longer knows which attempts it had sent.
+        let unreported_by_owner = !replica.owner_reported && record.may_have_run();
+        let owner_gone = !self.is_listed(record.owner) || unreported_by_owner;
         let past_deadline = now + self.settings.deadline_margin >= record.deadline;
         Some(if record.outcome.is_some() {
             Resolution::Keep
@@ -144,7 +147,8 @@
         }
     }
 
-    /// As coordinator, we own the job ourselves from now on; it starts once its replicas have acknowledged that.
+    /// Makes this process, the coordinator, the owner of the job. The job starts once its replicas have
+    /// acknowledged the new record.
     fn take_over(&mut self, now: Micros, key: &JobKey) {
         let ownership_epoch = self.next_ownership_epoch();
         let Some(replica) = self.replicas.get_mut(key) else { return };
--- a/crates/failover/src/counters.rs
+++ b/crates/failover/src/counters.rs
@@ -1,37 +1,38 @@
-//! Figures for operators.
+//! Counters and record counts for operators.
 
 use crate::Failover;
 use crate::client_job::ClaimState;
 
-/// Events since the start of the process.
+/// Counts of events since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Counters {
-    /// Jobs of other owners that were taken over and started.
+    /// Jobs of other owners that this process has taken over and started.
     pub taken_over: u64,
-    /// Those of them of which an attempt may have run.
+    /// Jobs taken over of which an attempt may have run.
     pub taken_over_may_have_run: u64,
-    /// Clients attached to a job that was submitted before, here or elsewhere.
+    /// Clients attached to a job that had already been submitted, here or elsewhere.
     pub attached: u64,
     /// Clients answered from the record of a finished job.
     pub answered_from_record: u64,
-    /// Jobs rejected because they could not be replicated.
+    /// Jobs rejected or failed because they could not be replicated.
     pub rejected: u64,
     /// Jobs run although they could not be replicated.
     pub unreplicated: u64,
-    /// Jobs whose ownership this process has lost.
+    /// Jobs of which this process has lost ownership.
     pub ownership_lost: u64,
-    /// Jobs given to others at a graceful shutdown.
+    /// Jobs transferred to other processes at a graceful shutdown.
     pub transferred: u64,
-    /// Messages dropped because they are of an older term or of a process that is not a member.
+    /// Messages dropped as stale: of an older term, of a process that is not a member, or for a key or claim
+    /// that the receiver no longer handles.
     pub stale_messages: u64,
 }
 
-/// Records of one class, by their state.
+/// Numbers of records of one class, by state.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct RecordCounts {
     /// Jobs that this process owns.
     pub owned: usize,
-    /// Jobs that clients of this process wait for and it does not own.
+    /// Jobs that clients of this process wait for, but that it does not own.
     pub awaited: usize,
     /// Replicas of jobs that have not finished.
     pub unfinished_replicas: usize,
@@ -40,12 +41,12 @@
 }
 
 impl Failover {
-    /// Events since the start of the process.
+    /// Returns the counts of events since the start of the process.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Records of a class, by their state.
+    /// Counts the records of a class by state; `class` is its number in the settings.
     pub fn record_counts(&self, class: u16) -> RecordCounts {
         let mut counts = RecordCounts::default();
         for (_, job) in self.jobs.iter().filter(|(key, _)| key.class == class) {
@@ -63,7 +64,7 @@
         counts
     }
 
-    /// Bytes of the records replicated here.
+    /// Approximate memory, in bytes, of the records replicated here.
     pub fn replica_bytes(&self) -> usize {
         self.replica_bytes
     }
--- a/crates/failover/src/discarded_claims.rs
+++ b/crates/failover/src/discarded_claims.rs
@@ -1,8 +1,9 @@
-//! Claims that this process has discarded, which replicas may still hold a record of.
+//! Claims that this process has discarded but of which replicas may still hold a record.
 //!
-//! [`Message::Discard`] is lost with the coordinator that it was sent to. A replica that becomes the coordinator under the
-//! next member list would take the job over, although its client was told that it has not run. So discards are sent again
-//! under each new list, until the job's deadline is over by everybody's clock.
+//! If a coordinator is lost, so is a [`Message::Discard`] that was sent to it. A replica that becomes the
+//! coordinator under the next member list would then take the job over, although its client was told that it
+//! had not run. Discards are therefore sent again under each new list until the job's deadline has passed by
+//! every member's clock.
 
 use crate::job_record::MAX_TRANSIT_TIME;
 use crate::{Failover, JobKey, Message, Micros};
@@ -12,18 +13,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct DiscardedClaim {
     key: JobKey,
-    /// Nobody takes the job over after that.
+    /// No process takes the job over after this time.
     expires_at: Micros,
 }
 
-/// Discarded claims by their numbers, so that the oldest come first.
+/// Discarded claims by claim number, the oldest first.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct DiscardedClaims {
     claims: BTreeMap<u64, DiscardedClaim>,
 }
 
 impl DiscardedClaims {
-    /// Remembers a claim; beyond `max_claims` the oldest is forgotten.
+    /// Adds a claim; if there are more than `max_claims`, the oldest is removed.
     fn insert(&mut self, key: &JobKey, claim_id: u64, deadline: Micros, max_claims: usize) {
         let expires_at = deadline.saturating_add(MAX_TRANSIT_TIME);
         self.claims.insert(claim_id, DiscardedClaim { key: key.clone(), expires_at });
@@ -32,14 +33,15 @@
         }
     }
 
-    /// Forgets the claims of jobs whose deadlines are over.
+    /// Removes the claims that have expired.
     pub(crate) fn expire(&mut self, now: Micros) {
         self.claims.retain(|_, claim| now < claim.expires_at);
     }
 }
 
 impl Failover {
-    /// Tells the coordinator that the record of a claim is not needed any more.
+    /// Tells the coordinator that the record of a claim is no longer needed, and remembers the claim if its
+    /// class requires acknowledgements.
     pub(crate) fn send_discard(&mut self, key: &JobKey, claim_id: u64, urgent: bool) {
         let replicated = self.jobs.get(key).filter(|job| job.record.requires_ack);
         if let Some(deadline) = replicated.map(|job| job.record.deadline) {
@@ -51,7 +53,7 @@
         }
     }
 
-    /// Under a new member list: sends the discards again, before the report is complete.
+    /// Sends the discards again under a new member list; called before `ReportComplete` is sent.
     pub(crate) fn report_all_discarded(&mut self) {
         let term = self.term;
         for (claim_id, DiscardedClaim { key, .. }) in self.discarded_claims.claims.clone() {
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -1,55 +1,66 @@
-//! Jobs survive the loss of the scheduler that owns them: another scheduler takes them over, once.
+//! Failover of jobs: when a scheduler is lost, one other scheduler takes over each job that it owned.
 //!
-//! **The invariant.** For each job at most one scheduler may start attempts in any [`OwnershipEpoch`], and none starts
-//! one that the job's class forbids given all attempts of earlier epochs.
+//! **Invariant.** For each job at most one scheduler may start attempts in any [`OwnershipEpoch`],
+//! and no scheduler starts an attempt that the job's class forbids, given all attempts of earlier epochs.
 //!
 //! # Roles
 //!
-//! A job is identified by its tenant, class and `Idempotency-Key` ([`JobKey`]). The *coordinator* of a key is the first
-//! of the member list by rendezvous hashing, so that all who know the list agree on it. A process to which a client
-//! submits a job asks its coordinator ([`Message::ClaimRequest`]). The coordinator grants the job to one *owner* at a
-//! time, or replies that another process owns it, or what its outcome was. The coordinator and further *replicas* (in
-//! another zone where there is one) hold the job's record: its payload, attempts and outcome. Before an attempt leaves
-//! whose class forbids some repeats, replicas have acknowledged its record; so whoever takes the job over can tell
-//! "never sent" from "may have run" without a clock.
+//! A job is identified by its tenant, class and `Idempotency-Key` ([`JobKey`]). The *coordinator*
+//! of a key is the member that ranks first by rendezvous hashing, so all processes with the same
+//! member list agree on it. A process that receives a job from a client asks the coordinator for it
+//! ([`Message::ClaimRequest`]). The coordinator grants the job to one *owner* at a time, or replies
+//! that another process owns it, or replies with its outcome. The coordinator and further *replicas*
+//! (in another zone where there is one) hold the job's record: its payload, attempts and outcome. If
+//! the job's class forbids some repeats, an attempt is sent only after the replicas have acknowledged
+//! its record. A process that takes the job over can therefore tell "never sent" from "may have run"
+//! without relying on clocks.
 //!
 //! # Member lists
 //!
-//! A new member list invalidates all messages of the last one. Owners report their jobs and the claims that they have
-//! discarded to the new coordinators, replicas report the jobs that have ended and those whose owners are gone, and each
-//! member then sends [`Message::ReportComplete`]. A coordinator grants nothing, acknowledges nothing and takes nothing over before all
-//! members of its list have sent that: by then it has received whatever was acknowledged under an older list. Then it
-//! takes over the jobs without an owner; each starts once its replicas have acknowledged that. A former owner that
-//! resumes is refused, for the record has a newer ownership epoch.
+//! A new member list invalidates all messages of the previous one. Owners report their jobs and their
+//! discarded claims to the new coordinators, replicas report the jobs that have ended and those whose
+//! owners are gone, and each member then sends [`Message::ReportComplete`]. Until all members of its
+//! list have sent that, a coordinator grants nothing, acknowledges nothing and takes nothing over;
+//! once they have, it has received everything that was acknowledged under an older list. It then takes
+//! over the jobs without an owner, and each of them starts once its replicas have acknowledged the
+//! takeover. A former owner that resumes is rejected, because the record has a newer ownership epoch.
 //!
-//! Member lists and member leases are those of `brackenledge-leases`. While an owner's lease lasts there is no member
-//! list without it, so nobody has taken its jobs over: it may start the attempts that were acknowledged, and answer
-//! clients. A pause between that check and the action does no harm: the attempt has been recorded, so whoever takes over
-//! counts it as one that may have run; and a client that went elsewhere meanwhile does not get the late answer.
+//! Member lists and member leases are those of `brackenledge-leases`. While an owner's lease lasts, every
+//! member list includes it, so no other process has taken its jobs over: it may start the attempts that
+//! were acknowledged, and answer clients. A pause between the lease check and the action does no harm:
+//! the attempt is on record, so a process that takes the job over counts it as one that may have run;
+//! and a client that has submitted the job elsewhere in the meantime does not receive the late answer.
 //!
 //! # Messages
 //!
-//! Links are sessions ([`Session`]): a message arrives once and in order, unless its receiver or sender has ended.
+//! Links between processes are sessions ([`Session`]), which deliver each message once and in order. A
+//! message is lost only if its sender or its receiver ends; a new member list without that process
+//! follows. A message of an older term than the receiver's is dropped, and one of a newer term is
+//! deferred until the receiver has applied that list.
 //!
-//! | message | lost, repeated | late |
-//! | --- | --- | --- |
-//! | all below | only with a process: sessions deliver exactly once | of an older term: dropped; of a newer one than ours: deferred until we have that list |
-//! | `ClaimRequest` | sent again under each new list | discarded for a client that has disconnected |
-//! | `ClaimGranted`, `OwnedElsewhere`, `CapacityExceeded`, `Ack` | with the coordinator: a new list follows, under which all claims are sent again | dropped |
-//! | `OutcomeNotice` | claimed again under each new list | the outcome of a job does not change |
-//! | `ReportOwned`, `ReportOrphaned`, `ReportComplete` | with their sender: a new list follows without it | dropped, as they are sent again under the next list |
-//! | `Replicate` | with the replica: another is chosen under the next list, or after [`Settings::replica_timeout`] | dropped |
-//! | `AttemptStarted`, `JobFinished` | with the owner: what was not acknowledged to it has not been done | dropped; reported again under the new list |
-//! | `Discard` | with the owner: taken over with the rest; with the coordinator: sent again under each new list until the deadline | dropped, as it is sent again |
-//! | `TransferOwnership` | with the owner: taken over with the rest | dropped |
-//! | `OwnershipRevoked` | with the coordinator: the next one revokes it again | dropped |
+//! | message | lost with | consequence | if late |
+//! | --- | --- | --- | --- |
+//! | `ClaimRequest` | coordinator | claimed again under the new list | discarded if no client waits |
+//! | `ClaimGranted`, `OwnedElsewhere` | coordinator | claimed again under the new list | dropped |
+//! | `CapacityExceeded`, `Ack` | coordinator | claimed again under the new list | dropped |
+//! | `OutcomeNotice` | coordinator | claimed again under the new list | valid: an outcome is final |
+//! | `ReportOwned`, `ReportOrphaned` | sender | the new list excludes it | dropped, and sent again |
+//! | `ReportComplete` | sender | the new list excludes it | dropped, and sent again |
+//! | `Replicate` | replica | another under the new list or after [`Settings::replica_timeout`] | dropped |
+//! | `AttemptStarted` | owner | unacknowledged, so the attempt was not sent | dropped, and reported again |
+//! | `JobFinished` | owner | taken over with its other jobs | dropped, and reported again |
+//! | `Discard` | owner | taken over with its other jobs | dropped, and sent again |
+//! | `Discard` | coordinator | sent again under each new list until the deadline | dropped, and sent again |
+//! | `TransferOwnership` | owner | taken over with its other jobs | dropped |
+//! | `OwnershipRevoked` | coordinator | the next coordinator revokes again | dropped |
 //!
 //! # Limits
 //!
-//! A record is lost when its owner and all replicas that had acknowledged it are lost between two member lists; its
-//! client's next submission then runs as a new job. A job without a key has no record. Records outlive the job's
-//! deadline, and nothing is taken over after that. Clocks count stopped time. An attempt is taken to be older than it
-//! may be where it is known from another process's snapshot. No I/O, no clock, no randomness.
+//! A record is lost when its owner and all replicas that had acknowledged it are lost between two
+//! member lists; if its client submits the job again, it runs as a new job. A job without a key has
+//! no record. Records outlive the job's deadline, but no job is taken over after its deadline. The
+//! caller's clock must advance while the process is stopped. The age of an attempt known from another
+//! process's snapshot is an upper bound. This crate does no I/O, reads no clock and uses no randomness.
 
 mod client_job;
 mod command;
@@ -85,62 +96,64 @@
 use replica::ReplicaRecord;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// The interval between scans for timeouts while jobs are held, and while there are none.
+/// The interval between scans for timeouts while jobs or unacknowledged records are held, and while there are
+/// none.
 const BUSY_SCAN_INTERVAL: Micros = 20_000;
 const IDLE_SCAN_INTERVAL: Micros = 250_000;
-/// `Retry-After`, in milliseconds, of a job that could not be replicated or whose owner rejected it.
+/// `Retry-After`, in milliseconds, for a job that could not be replicated or that its owner rejected.
 const RETRY_AFTER_MS: u32 = 500;
-/// Most messages of future terms that are deferred; only a faulty process sends more.
+/// Maximum number of deferred messages of newer terms; only a faulty process sends more.
 const MAX_DEFERRED_MESSAGES: usize = 65_536;
 
-/// A message of a term that has not been applied yet.
+/// A message of a newer term, kept until the member list of that term is applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct DeferredMessage {
     from: ProcessId,
     message: Message,
 }
 
-/// The state machine of one process: owner of its clients' jobs, coordinator of some keys, replica of other jobs.
+/// The failover state of one process: owner of its clients' jobs, coordinator of some keys, replica of other
+/// jobs.
 ///
-/// The driver feeds it with submissions, attempts, outcomes, messages, member lists and the time, and carries out what
-/// [`Failover::poll_command`] returns.
+/// The driver passes in submissions, attempts, outcomes, messages, member lists and the time, and executes
+/// the commands that [`Failover::poll_command`] returns.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Failover {
     local: ProcessId,
     settings: Settings,
-    /// Zones of the schedulers, by ordinal.
+    /// The schedulers' zones, by ordinal.
     zones: BTreeMap<u16, u32>,
     /// The term of the member list in force.
     term: Term,
-    /// Its members.
+    /// The members on that list.
     members: Members,
-    /// Members whose reports under this list are complete.
+    /// Ordinals of the members whose reports under this list are complete.
     reported: BTreeSet<u16>,
-    /// All members' reports are complete.
+    /// Whether the reports of all members are complete.
     all_reported: bool,
-    /// When our member lease expires.
+    /// When the local member lease expires.
     lease_expiry: Micros,
-    /// The latest expiry of any lease that we have had.
+    /// The latest expiry of any member lease that this process has held.
     latest_lease_expiry: Micros,
-    /// Jobs of our clients, and jobs that we own.
+    /// Jobs that local clients wait for, and jobs that this process owns.
     jobs: BTreeMap<JobKey, ClientJob>,
-    /// Records that we hold as coordinator or replica.
+    /// Records held as coordinator or replica.
     replicas: BTreeMap<JobKey, ReplicaRecord>,
     replica_bytes: usize,
-    /// Records of which replicas owe us an acknowledgement.
+    /// Keys of the coordinated records that some replicas have not acknowledged yet.
     awaiting_replicas: BTreeSet<JobKey>,
-    /// Counts the jobs that we granted as coordinator under this list.
+    /// Number of ownerships granted as coordinator under this list.
     grant_count: u32,
-    /// The number of our last claim.
+    /// The number of the last local claim.
     last_claim_id: u64,
     /// Claims received before all reports were complete.
     deferred_claims: VecDeque<DeferredClaim>,
-    /// Jobs that members have reported to own under this list.
+    /// Jobs that members have reported as their own under this list.
     reported_jobs: Vec<ReportedJob>,
     deferred_messages: VecDeque<DeferredMessage>,
-    /// Claims of ours of which replicas may still hold a record.
+    /// Discarded local claims of which replicas may still hold a record.
     discarded_claims: DiscardedClaims,
-    /// Peers that read too slowly to be given more jobs.
+    /// Ordinals of peers that read too slowly to coordinate further jobs.
     lagging_peers: BTreeSet<u16>,
     /// Messages from this process to itself, handled within the same call.
     loopback: VecDeque<Message>,
@@ -151,7 +164,7 @@
 }
 
 impl Failover {
-    /// A process that holds no jobs and is not a member yet.
+    /// Creates the state of a process that holds no jobs and is not a member yet.
     pub fn new(local: ProcessId, zone: u32, settings: Settings) -> Failover {
         Failover {
             local,
@@ -182,12 +195,13 @@
         }
     }
 
-    /// Sets the zone of another scheduler.
+    /// Sets the zone of another scheduler; replicas are placed across zones.
     pub fn set_zone(&mut self, ordinal: u16, zone: u32) {
         self.zones.insert(ordinal, zone);
     }
 
-    /// Sets whether a peer reads more slowly than messages are sent to it: it then coordinates no further jobs of ours.
+    /// Sets whether a peer reads more slowly than messages are sent to it. No further jobs are claimed at a
+    /// lagging peer.
     pub fn set_peer_lagging(&mut self, ordinal: u16, lagging: bool) {
         if lagging {
             self.lagging_peers.insert(ordinal);
@@ -196,18 +210,18 @@
         }
     }
 
-    /// The next command for the driver.
+    /// Returns the next command for the driver, or `None` when there are no more.
     pub fn poll_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// When [`Failover::handle_timeout`] is to be called next.
+    /// The time at which [`Failover::handle_timeout`] is to be called next.
     pub fn next_timeout(&self) -> Micros {
         let idle = self.jobs.is_empty() && self.awaiting_replicas.is_empty();
         self.last_scan + if idle { IDLE_SCAN_INTERVAL } else { BUSY_SCAN_INTERVAL }
     }
 
-    /// Handles what is due by now.
+    /// Handles the timeouts that are due; does nothing before [`Failover::next_timeout`].
     pub fn handle_timeout(&mut self, now: Micros) {
         if now < self.next_timeout() {
             return;
@@ -218,13 +232,13 @@
         self.deliver_loopback(now);
     }
 
-    /// Handles a message from another process.
+    /// Handles a message from another process, as its session delivered it.
     pub fn handle_message(&mut self, now: Micros, from: ProcessId, message: Message) {
         self.receive(now, from, message);
         self.deliver_loopback(now);
     }
 
-    /// Handles a message of the current term, defers one of a later term, and drops any other.
+    /// Handles a message of the current term, defers one of a newer term, and drops any other.
     fn receive(&mut self, now: Micros, from: ProcessId, message: Message) {
         match message.term() {
             Some(term) if term > self.term => {
@@ -232,7 +246,7 @@
                     self.deferred_messages.push_back(DeferredMessage { from, message });
                 }
             }
-            Some(term) if term < self.term || !self.lists(from) || !self.is_member() => {
+            Some(term) if term < self.term || !self.is_listed(from) || !self.is_member() => {
                 self.counters.stale_messages += 1;
             }
             _ => self.dispatch_message(now, from, message),
@@ -270,7 +284,8 @@
         }
     }
 
-    /// Handles the messages that this process has sent to itself, and those that it sends in return.
+    /// Handles the messages that this process has sent to itself, and those that they cause it to send to
+    /// itself.
     fn deliver_loopback(&mut self, now: Micros) {
         while let Some(message) = self.loopback.pop_front() {
             self.receive(now, self.local, message);
@@ -281,7 +296,7 @@
         self.send_with(to, message, true);
     }
 
-    /// Sends a message that may be batched.
+    /// Sends a message that may wait for a batch.
     fn send_batched(&mut self, to: ProcessId, message: Message) {
         self.send_with(to, message, false);
     }
--- a/crates/failover/src/member_list.rs
+++ b/crates/failover/src/member_list.rs
@@ -1,4 +1,4 @@
-//! Member lists, member leases, and the reports that follow a new list.
+//! Member lists, member leases, and the reports that members send under a new list.
 
 use crate::client_job::ClaimState;
 use crate::command::Event;
@@ -12,12 +12,13 @@
         self.term
     }
 
-    /// Whether all members' reports are complete and our member lease lasts: jobs can be claimed and replicated.
+    /// Whether the reports of all members are complete and the local member lease is valid, so that jobs can
+    /// be claimed and replicated.
     pub fn is_settled(&self, now: Micros) -> bool {
         self.all_reported && self.holds_lease(now)
     }
 
-    /// Applies a member list, unless one as new is in force.
+    /// Applies a member list, unless its term is not newer than that of the list in force.
     pub fn apply_member_list(&mut self, now: Micros, term: Term, members: &Members) {
         if term <= self.term {
             return;
@@ -41,7 +42,7 @@
         self.deliver_loopback(now);
     }
 
-    /// Discards the state of the last member list.
+    /// Discards the state that belongs to the previous member list.
     fn reset_for_term(&mut self) {
         self.reported.clear();
         self.all_reported = false;
@@ -53,8 +54,8 @@
         self.replicas.values_mut().for_each(ReplicaRecord::reset_for_term);
     }
 
-    /// This process continues under a new incarnation, and is not a member under it yet: the jobs that it owned under
-    /// the old one are taken over by others.
+    /// Continues under a new incarnation, which is not a member yet. The jobs that the old incarnation owned
+    /// are taken over by others.
     pub fn restart_as(&mut self, local: ProcessId) {
         self.members.clear();
         self.handle_exclusion();
@@ -70,7 +71,7 @@
         self.lagging_peers.clear();
     }
 
-    /// Sets when our member lease expires.
+    /// Sets when the local member lease expires, by the caller's clock.
     pub fn set_member_lease(&mut self, now: Micros, expiry: Micros) {
         self.lease_expiry = expiry;
         self.latest_lease_expiry = self.latest_lease_expiry.max(expiry);
@@ -80,28 +81,30 @@
         self.deliver_loopback(now);
     }
 
-    /// Whether our member lease lasts: nobody can have taken over the jobs that we own.
+    /// Whether the local member lease is valid: if so, no process can have taken over the jobs owned here.
     pub(crate) fn holds_lease(&self, now: Micros) -> bool {
         self.is_member() && now < self.lease_expiry
     }
 
-    /// Whether our lease has expired since then and does not last now: a claim of that time may have been granted to us,
-    /// and the job taken over by another since, without our knowing.
+    /// Whether the local member lease has expired after `since` and is not valid now. If so, a claim made at
+    /// `since` may have been granted, and another process may have taken the job over, without this process
+    /// having been told.
     pub(crate) fn lease_lapsed_since(&self, now: Micros, since: Micros) -> bool {
         self.latest_lease_expiry > since && !self.holds_lease(now)
     }
 
-    /// Whether we are on the member list.
+    /// Whether this process is on the member list.
     pub(crate) fn is_member(&self) -> bool {
-        self.lists(self.local)
+        self.is_listed(self.local)
     }
 
     /// Whether a process is on the member list.
-    pub(crate) fn lists(&self, process: ProcessId) -> bool {
+    pub(crate) fn is_listed(&self, process: ProcessId) -> bool {
         self.members.contains(process)
     }
 
-    /// We are not on the member list: others take over the jobs that we owned.
+    /// Gives up ownership of all jobs: this process is no longer on the member list, and others take its jobs
+    /// over.
     fn handle_exclusion(&mut self) {
         let owned = self.jobs.iter().filter(|(_, job)| job.state == ClaimState::Owned);
         let keys: Vec<JobKey> = owned.map(|(key, _)| key.clone()).collect();
@@ -115,7 +118,8 @@
         }
     }
 
-    /// Under a new member list: reports the jobs that we own to their coordinators, and claims the others again.
+    /// Under a new member list, reports the jobs that this process owns to their coordinators, and claims the
+    /// others again.
     fn report_all_owned(&mut self, now: Micros) {
         let keys: Vec<JobKey> = self.jobs.keys().cloned().collect();
         for key in keys {
@@ -136,12 +140,13 @@
         }
     }
 
-    /// Under a new member list: reports replicas of jobs that have ended, and of those whose owners are gone.
+    /// Under a new member list, reports the replicas of jobs that have ended and of those whose owners are
+    /// gone.
     fn report_all_orphaned(&mut self, now: Micros) {
         let term = self.term;
         let mut reports = Vec::new();
         for (key, replica) in &self.replicas {
-            let orphaned = replica.record.outcome.is_some() || !self.lists(replica.record.owner);
+            let orphaned = replica.record.outcome.is_some() || !self.is_listed(replica.record.owner);
             let coordinator = key.coordinator(&self.members).filter(|other| *other != self.local);
             if let Some(coordinator) = coordinator.filter(|_| orphaned) {
                 reports.push((coordinator, replica.record.snapshot(now, key)));
--- a/crates/failover/src/message.rs
+++ b/crates/failover/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between processes about jobs.
+//! The messages that processes exchange about jobs.
 
 use crate::job_key::JobKey;
 use crate::job_record::{Execution, JobOutcome, OwnershipEpoch, RecordSnapshot};
@@ -6,30 +6,32 @@
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A message between processes; the crate's page has a table of what becomes of one that is lost, repeated or late.
-/// The order of variants and fields is the wire format.
+/// A message between processes. The order of variants and fields is the wire format; the crate documentation
+/// has a table of what happens if a message is lost or late.
 ///
-/// `term` is that of the member list under which it was sent, `claim_id` the owner's or claimant's number for its claim.
+/// `term` is the term of the member list under which the message was sent, `claim_id` the owner's or
+/// claimant's number for its claim.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum Message {
-    /// To the coordinator: a client has submitted this job, may I own it?
+    /// To the coordinator: requests ownership of a job that a client has submitted.
     ClaimRequest { term: Term, record: RecordSnapshot },
-    /// From the coordinator: you own it, and replicas have it up to this version.
+    /// From the coordinator: the receiver owns the job, and replicas have its record up to this version.
     ClaimGranted { term: Term, key: JobKey, claim_id: u64, ownership_epoch: OwnershipEpoch, version: u32 },
-    /// From the coordinator: another process owns it; you will get its outcome.
+    /// From the coordinator: another process owns the job; its outcome follows.
     OwnedElsewhere { term: Term, key: JobKey, claim_id: u64 },
-    /// From the coordinator: its outcome.
+    /// From the coordinator: the job's outcome.
     OutcomeNotice { key: JobKey, outcome: JobOutcome },
-    /// From the coordinator: there is no capacity for its record.
+    /// From the coordinator: it has no capacity for the job's record.
     CapacityExceeded { term: Term, key: JobKey, claim_id: u64 },
-    /// From the owner to the coordinator under a new member list: I own this.
+    /// From the owner to the coordinator, under a new member list: the sender owns this job.
     ReportOwned { term: Term, record: RecordSnapshot },
-    /// From a replica to the coordinator under a new member list: a job that has ended, or whose owner is gone.
+    /// From a replica to the coordinator, under a new member list: a job that has ended or whose owner is
+    /// gone.
     ReportOrphaned { term: Term, record: RecordSnapshot },
-    /// From the coordinator to a replica: hold this record.
+    /// From the coordinator to a replica: a record to hold.
     Replicate { term: Term, record: RecordSnapshot },
-    /// From the owner to the coordinator, forwarded to the replicas: what is known of an attempt.
+    /// From the owner to the coordinator, forwarded to the replicas: an attempt, and whether it may have run.
     AttemptStarted {
         term: Term,
         key: JobKey,
@@ -41,20 +43,22 @@
     },
     /// From the owner to the coordinator, forwarded to the replicas: the job's outcome.
     JobFinished { term: Term, key: JobKey, claim_id: u64, version: u32, outcome: JobOutcome },
-    /// From the owner to the coordinator, forwarded to the replicas: the record is not needed any more.
+    /// From the owner to the coordinator, forwarded to the replicas: the record is no longer needed.
     Discard { term: Term, key: JobKey, claim_id: u64 },
-    /// From the owner to the coordinator: take the job over from me.
+    /// From the owner to the coordinator: asks it to take the job over.
     TransferOwnership { term: Term, key: JobKey, claim_id: u64 },
-    /// From a replica to the coordinator, from the coordinator to the owner: it is replicated up to this version.
+    /// From a replica to the coordinator, or from the coordinator to the owner: the record is replicated up
+    /// to this version.
     Ack { term: Term, key: JobKey, claim_id: u64, version: u32 },
-    /// From the coordinator: you do not own it any more.
+    /// From the coordinator: the receiver does not own the job, or no longer does.
     OwnershipRevoked { term: Term, key: JobKey, claim_id: u64 },
-    /// To all members under a new member list: I have reported all that I own and hold.
+    /// To all members, under a new member list: the sender has reported all jobs that it owns and all records
+    /// that it has to report.
     ReportComplete { term: Term },
 }
 
 impl Message {
-    /// The term of the member list under which it was sent; `None`: it is valid under any.
+    /// The term of the member list under which the message was sent; `None` if it is valid under any list.
     pub(crate) fn term(&self) -> Option<Term> {
         match self {
             Message::OutcomeNotice { .. } => None,
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -1,34 +1,35 @@
-//! Records of other owners' jobs that this process holds, as the coordinator of a key or as a further replica.
+//! Records that this process holds as the coordinator of a key or as a further replica.
 
 use crate::job_key::JobKey;
 use crate::job_record::{JobRecord, RecordSnapshot};
 use crate::{Failover, Message, Micros, ProcessId};
 use std::collections::BTreeMap;
 
-/// The interval between searches for expired records.
+/// The interval between sweeps for expired records.
 const SWEEP_INTERVAL: Micros = 1_000_000;
 
-/// A record held for its owner. The fields after `expires_at` are the coordinator's, of the member list in force.
+/// A record held for its owner. The fields after `expires_at` are used by the coordinator, and belong to the
+/// member list in force.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ReplicaRecord {
     pub(crate) record: JobRecord,
-    /// Its part of the bytes that all replicas take.
+    /// What this record contributes to `Failover::replica_bytes`.
     size: usize,
-    /// When it is dropped.
+    /// When the record is dropped.
     expires_at: Micros,
-    /// Further replicas by ordinal, and the version that each has acknowledged.
+    /// The version that each further replica has acknowledged, by the replica's ordinal.
     pub(crate) acked_versions: BTreeMap<u16, Option<u32>>,
-    /// Replicas wanted beyond the needed ones, because so many have not acknowledged in time.
+    /// Number of replicas wanted beyond the needed ones, to replace some that have not acknowledged in time.
     pub(crate) extra_replicas: usize,
     /// The version acknowledged to the owner.
     pub(crate) confirmed_version: Option<u32>,
-    /// The owner has not been sent [`Message::ClaimGranted`] yet.
+    /// Whether [`Message::ClaimGranted`] has still to be sent to the owner.
     pub(crate) grant_pending: bool,
     /// Processes whose clients wait for the outcome.
     pub(crate) attached: Vec<ProcessId>,
-    /// Since when replicas owe an acknowledgement.
+    /// Since when acknowledgements of replicas have been outstanding; `None` if there are enough.
     pub(crate) awaiting_since: Option<Micros>,
-    /// The owner has claimed or reported the job under this member list.
+    /// Whether the owner has claimed or reported the job under this member list.
     pub(crate) owner_reported: bool,
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Discards the state of the last member list.
+    /// Discards the state that belongs to the previous member list.
     pub(crate) fn reset_for_term(&mut self) {
         self.extra_replicas = 0;
         self.confirmed_version = None;
@@ -59,7 +60,7 @@
         self.attached.clear();
     }
 
-    /// Whether a process owns the job by this claim.
+    /// Whether a process owns the job under this claim.
     pub(crate) fn is_owned_by(&self, process: ProcessId, claim_id: u64) -> bool {
         self.record.owner == process && self.record.claim_id == claim_id
     }
@@ -72,7 +73,7 @@
             && self.replica_bytes + size <= self.settings.max_bytes
     }
 
-    /// Holds a record, in place of an older one of the same job.
+    /// Stores a record, replacing any other record of the same job.
     pub(crate) fn store_replica(
         &mut self,
         now: Micros,
@@ -89,7 +90,7 @@
         replica
     }
 
-    /// Holds a record unless the one held is as new.
+    /// Stores a record unless the one already held is at least as new.
     pub(crate) fn store_if_newer(&mut self, now: Micros, key: &JobKey, record: JobRecord) {
         if self.replicas.get(key).is_none_or(|replica| record.is_newer_than(&replica.record)) {
             self.store_replica(now, key, record);
@@ -116,7 +117,7 @@
     }
 
     pub(crate) fn handle_replica_timeouts(&mut self, now: Micros) {
-        self.replace_silent_replicas(now);
+        self.replace_unresponsive_replicas(now);
         if now < self.last_sweep + SWEEP_INTERVAL {
             return;
         }
--- a/crates/failover/tests/cluster.rs
+++ b/crates/failover/tests/cluster.rs
@@ -1,4 +1,5 @@
-//! Capacity, timeouts, silent replicas, zones, ages of attempts and graceful shutdown, in a virtual cluster.
+//! Tests in a virtual cluster: replica placement, unresponsive processes, capacity, timeouts, ages of
+//! attempts and graceful shutdown.
 #![allow(missing_docs)]
 
 mod virtual_cluster;
@@ -10,21 +11,25 @@
 
 #[test]
 fn an_attempt_is_permitted_once_coordinator_and_replica_have_acknowledged_it() {
-    for number in [2, 3, 6] {
-        for (at, name) in ["a", "b", "c", "d", "e"].into_iter().enumerate() {
-            let mut cluster = Cluster::new(number, Settings::default());
-            let node = at as u16 % number;
+    for node_count in [2, 3, 6] {
+        for (index, name) in ["a", "b", "c", "d", "e"].into_iter().enumerate() {
+            let mut cluster = Cluster::new(node_count, Settings::default());
+            let node = index as u16 % node_count;
             cluster.submit(node, name, true, true);
-            assert!(cluster.request_attempt(node, name), "{name} of {number}");
+            assert!(cluster.request_attempt(node, name), "job {name}, {node_count} nodes");
             let held = cluster
                 .nodes
                 .iter()
                 .flatten()
-                .map(|one| one.record_counts(1).unfinished_replicas)
+                .map(|failover| failover.record_counts(1).unfinished_replicas)
                 .sum::<usize>();
-            // The owner coordinates some keys itself, and then two others hold replicas.
-            let away = usize::from(cluster.coordinator(name, node) == node);
-            assert_eq!(held, (2 + away).min(usize::from(number) - 1 + away), "{name} of {number}");
+            // An owner that coordinates the key itself holds a record too, and two others hold replicas.
+            let own_copy = usize::from(cluster.coordinator(name, node) == node);
+            assert_eq!(
+                held,
+                (2 + own_copy).min(usize::from(node_count) - 1 + own_copy),
+                "job {name}, {node_count} nodes"
+            );
         }
     }
 }
@@ -32,37 +37,38 @@
 #[test]
 fn the_replica_is_in_another_zone_than_coordinator_and_owner() {
     let mut cluster = Cluster::new(6, Settings::default());
-    for at in 0..40 {
-        cluster.submit(0, &format!("k{at}"), true, true);
+    for index in 0..40 {
+        cluster.submit(0, &format!("k{index}"), true, true);
     }
     let zone = |node: u16| node % 2;
-    let mut seen = 0;
+    let mut checked = 0;
     for SentMessage { from: coordinator, to: replica, message } in &cluster.sent {
         let Message::Replicate { record, .. } = message else { continue };
         let owner = record.owner.ordinal;
         if zone(*coordinator) == zone(owner) && *coordinator != owner {
-            seen += 1;
+            checked += 1;
             assert_ne!(zone(*replica), zone(owner), "{coordinator} and {owner} are in one zone");
         }
     }
-    assert!(seen > 5, "{seen}");
+    assert!(checked > 5, "only {checked} replicas were checked");
 }
 
-/// A name whose coordinator in a cluster of five is neither process 0 nor process 1, and that coordinator.
+/// A name whose coordinator in a cluster of five is neither node 0 nor node 1, and that coordinator.
 fn name_and_coordinator() -> (String, u16) {
     let mut probe = Cluster::new(5, Settings::default());
-    let name = probe.name_away_from(5, &[0, 1]);
+    let name = probe.name_coordinated_elsewhere(5, &[0, 1]);
     probe.submit(0, &name, true, true);
     let coordinator = probe.coordinator(&name, 0);
     (name, coordinator)
 }
 
 #[test]
-fn a_silent_replica_is_replaced() {
+fn an_unresponsive_replica_is_replaced() {
     let (name, coordinator) = name_and_coordinator();
     let mut cluster = Cluster::new(5, Settings::default());
-    // All but the owner, the coordinator and one more are silent: that one is found by trying the others.
-    cluster.silent = (1..5).filter(|&node| node != coordinator).skip(1).collect();
+    // Only the owner, the coordinator and one more node answer. The coordinator tries the others until it
+    // finds that node.
+    cluster.isolated = (1..5).filter(|&node| node != coordinator).skip(1).collect();
     cluster.submit(0, &name, true, true);
     let at_once = cluster.request_attempt(0, &name);
     cluster.run(500);
@@ -70,26 +76,26 @@
 }
 
 #[test]
-fn a_job_whose_coordinator_is_silent_is_rejected_at_the_claim_timeout() {
+fn a_job_whose_coordinator_does_not_answer_is_rejected_at_the_claim_timeout() {
     let (name, coordinator) = name_and_coordinator();
     let mut cluster = Cluster::new(5, Settings::default());
-    cluster.silent.insert(coordinator);
+    cluster.isolated.insert(coordinator);
     let waiter = cluster.submit(0, &name, true, true);
-    assert!(!cluster.request_attempt(0, &name), "its coordinator is silent");
+    assert!(!cluster.request_attempt(0, &name), "its coordinator is isolated");
     cluster.run(3_900);
-    assert_eq!(cluster.answer(0, waiter), None, "a member list without the coordinator may come");
+    assert_eq!(cluster.answer(0, waiter), None, "a member list without the coordinator may still arrive");
     cluster.run(200);
     assert!(
         matches!(cluster.answer(0, waiter), Some(JobOutcome::Rejected(Some(_)))),
-        "rejected, for nothing was sent"
+        "rejected, because no attempt was sent"
     );
 }
 
 #[test]
-fn a_job_that_does_not_require_replication_runs_at_the_claim_timeout_of_a_silent_coordinator() {
+fn a_job_that_does_not_require_replication_runs_at_the_claim_timeout_of_an_isolated_coordinator() {
     let (name, coordinator) = name_and_coordinator();
     let mut cluster = Cluster::new(5, Settings::default());
-    cluster.silent.insert(coordinator);
+    cluster.isolated.insert(coordinator);
     cluster.submit(0, &name, true, false);
     cluster.request_attempt(0, &name);
     cluster.run(4_200);
@@ -100,38 +106,38 @@
 fn at_capacity_a_job_is_rejected_or_runs_unreplicated_by_its_class() {
     let settings = Settings { max_records: 10, ..Settings::default() };
     let mut cluster = Cluster::new(3, settings);
-    let mut ends = BTreeMap::new();
-    for at in 0..60 {
-        let (name, requires_replication) = (format!("k{at}"), at % 2 == 0);
+    let mut counts_by_result = BTreeMap::new();
+    for index in 0..60 {
+        let (name, requires_replication) = (format!("k{index}"), index % 2 == 0);
         let waiter = cluster.submit(0, &name, true, requires_replication);
         let rejected = matches!(cluster.answer(0, waiter), Some(JobOutcome::Rejected(Some(_))));
-        *ends.entry((requires_replication, rejected)).or_insert(0) += 1;
+        *counts_by_result.entry((requires_replication, rejected)).or_insert(0) += 1;
         let runs = cluster.started(0, &name).is_some();
-        assert!(runs || rejected, "{name} neither runs nor is it rejected");
+        assert!(runs || rejected, "{name} neither runs nor is rejected");
     }
-    assert!(ends.get(&(true, true)).is_some_and(|&count| count > 10), "{ends:?}");
-    assert_eq!(ends.get(&(false, true)), None, "{ends:?}");
-    let counts = cluster.nodes[0].as_ref().expect("it lives").counters();
-    assert!(counts.rejected > 10 && counts.unreplicated > 10, "{counts:?}");
+    assert!(counts_by_result.get(&(true, true)).is_some_and(|&count| count > 10), "{counts_by_result:?}");
+    assert_eq!(counts_by_result.get(&(false, true)), None, "{counts_by_result:?}");
+    let counters = cluster.nodes[0].as_ref().expect("the node runs").counters();
+    assert!(counters.rejected > 10 && counters.unreplicated > 10, "{counters:?}");
 }
 
 #[test]
 fn a_job_that_may_run_any_number_of_times_is_replicated_only_after_the_replication_delay() {
     let mut cluster = Cluster::new(4, Settings::default());
     cluster.sent.clear();
-    let view = cluster.submit(1, "short", false, false);
-    assert!(cluster.request_attempt(1, "short"), "it waits for no acknowledgement");
+    let waiter = cluster.submit(1, "short", false, false);
+    assert!(cluster.request_attempt(1, "short"), "it needs no acknowledgement");
     cluster.run(40);
     cluster.finish_job(1, "short", JobOutcome::Served(Arc::from(&b"x"[..])));
-    assert_eq!(cluster.answer(1, view), Some(JobOutcome::Served(Arc::from(&b"x"[..]))));
+    assert_eq!(cluster.answer(1, waiter), Some(JobOutcome::Served(Arc::from(&b"x"[..]))));
     assert!(cluster.sent.is_empty(), "{:?}", cluster.sent);
     cluster.submit(1, "long", false, false);
     cluster.run(100);
     assert!(
-        cluster.nodes.iter().flatten().any(|one| one.record_counts(1).unfinished_replicas > 0),
-        "replicated by now"
+        cluster.nodes.iter().flatten().any(|failover| failover.record_counts(1).unfinished_replicas > 0),
+        "not replicated after the replication delay"
     );
-    // Its owner is lost: another runs it, as if nothing had been sent.
+    // When its owner is lost, another node runs it; attempts of such a job are not recorded.
     cluster.nodes[1] = None;
     cluster.apply_member_list(vec![0, 2, 3]);
     let started: Vec<_> =
@@ -142,7 +148,7 @@
 #[test]
 fn a_takeover_learns_the_greatest_age_of_an_attempt_that_may_have_run() {
     let mut cluster = Cluster::new(4, Settings::default());
-    let name = cluster.name_away_from(4, &[0, 1]);
+    let name = cluster.name_coordinated_elsewhere(4, &[0, 1]);
     cluster.submit(0, &name, true, true);
     assert!(cluster.request_attempt(0, &name));
     cluster.run(2_000);
@@ -152,7 +158,7 @@
     let started = cluster.started(coordinator, &name).expect("its coordinator takes it over");
     let age = started.prior_execution_age.expect("it may have run");
     assert!(started.taken_over && (2_000 * MS..2_100 * MS).contains(&age), "{started:?}");
-    // From another's snapshot, the time in transit may come on top.
+    // If the record comes from another node's snapshot, the time in transit may be added.
     let mut cluster = Cluster::new(4, Settings::default());
     cluster.submit(0, &name, true, true);
     assert!(cluster.request_attempt(0, &name));
@@ -175,30 +181,30 @@
         let again = cluster.submit(node, "k", true, true);
         assert_eq!(cluster.answer(node, again), Some(served.clone()), "at {node}");
     }
-    // 5 s to its deadline, and 10 s more.
+    // Its deadline is after 5 s, and the retention is another 10 s.
     cluster.run(14_000);
     let again = cluster.submit(2, "k", true, true);
     assert_eq!(cluster.answer(2, again), Some(served));
     cluster.run(3_000);
-    for one in cluster.nodes.iter().flatten() {
-        assert_eq!(one.record_counts(1).finished_replicas, 0, "discarded");
-        assert_eq!(one.replica_bytes(), 0);
+    for failover in cluster.nodes.iter().flatten() {
+        assert_eq!(failover.record_counts(1).finished_replicas, 0, "the record has expired");
+        assert_eq!(failover.replica_bytes(), 0);
     }
 }
 
 #[test]
-fn replica_bytes_are_those_of_the_records_whatever_became_of_them() {
+fn replica_bytes_match_the_records_held_after_rejections_and_expiry() {
     let mut cluster = Cluster::new(2, Settings { replication_factor: 1, ..Settings::default() });
     let bytes =
         |cluster: &Cluster| cluster.nodes.iter().flatten().map(Failover::replica_bytes).collect::<Vec<_>>();
     cluster.submit(0, "stays", true, true);
     let alone = bytes(&cluster);
-    for at in 0..20 {
-        let name = format!("goes-{at}");
+    for index in 0..20 {
+        let name = format!("goes-{index}");
         cluster.submit(0, &name, true, true);
         cluster.request_attempt(0, &name);
         let now = cluster.now;
-        cluster.nodes[0].as_mut().expect("it lives").attempt_never_ran(now, &key(&name), 0);
+        cluster.nodes[0].as_mut().expect("the node runs").attempt_never_ran(now, &key(&name), 0);
         cluster.execute_commands();
         assert_ne!(bytes(&cluster), alone);
         cluster.finish_job(0, &name, JobOutcome::Rejected(None));
@@ -225,17 +231,17 @@
 #[test]
 fn a_restarted_process_owns_nothing_and_is_a_member_again_under_the_next_member_list() {
     let mut cluster = Cluster::new(4, Settings::default());
-    let name = cluster.name_away_from(4, &[0]);
+    let name = cluster.name_coordinated_elsewhere(4, &[0]);
     let first = cluster.submit(0, &name, true, true);
     assert!(cluster.request_attempt(0, &name));
     let again = ProcessId { ordinal: 0, incarnation: 2 };
-    cluster.nodes[0].as_mut().expect("it lives").restart_as(again);
+    cluster.nodes[0].as_mut().expect("the node runs").restart_as(again);
     cluster.execute_commands();
-    assert!(cluster.commands[0].contains(&Command::Revoke { key: key(&name) }), "the others own it now");
+    assert!(cluster.commands[0].contains(&Command::Revoke { key: key(&name) }), "the others take it over");
     cluster.incarnations.insert(0, 2);
     cluster.apply_member_list((0..4).collect());
-    assert!(cluster.nodes[0].as_ref().expect("it lives").is_settled(cluster.now));
-    // Its coordinator has taken it over, and the client waits for that.
+    assert!(cluster.nodes[0].as_ref().expect("the node runs").is_settled(cluster.now));
+    // Its coordinator has taken it over, and the client waits for its outcome.
     let coordinator = cluster.coordinator(&name, 0);
     assert!(cluster.started(coordinator, &name).is_some_and(|job| job.taken_over));
     cluster.finish_job(coordinator, &name, JobOutcome::Failed);
@@ -250,14 +256,14 @@
     let unsent = cluster.submit(0, "unsent", true, true);
     let sent = cluster.submit(0, "sent", true, true);
     assert!(cluster.request_attempt(0, "sent"));
-    assert_eq!(cluster.nodes[0].as_mut().expect("it lives").transfer_all(cluster.now), 1);
+    assert_eq!(cluster.nodes[0].as_mut().expect("the node runs").transfer_all(cluster.now), 1);
     cluster.execute_commands();
     assert!(matches!(cluster.answer(0, unsent), Some(JobOutcome::Rejected(Some(_)))));
     assert_eq!(cluster.answer(0, sent), None);
     let starts: Vec<u16> =
         (0..4).filter(|&node| cluster.started(node, "unsent").is_some_and(|job| job.taken_over)).collect();
-    assert_eq!(starts.len(), 1, "one goes on with it: {starts:?}");
-    // Its client submits it again, and gets the one outcome.
+    assert_eq!(starts.len(), 1, "exactly one node takes it over: {starts:?}");
+    // Its client submits it again, and gets the outcome of that run.
     let again = cluster.submit(3, "unsent", true, true);
     cluster.finish_job(starts[0], "unsent", JobOutcome::Failed);
     assert_eq!(cluster.answer(3, again), Some(JobOutcome::Failed));
@@ -269,21 +275,21 @@
         let mut cluster = Cluster::new(4, Settings::default());
         let waiter = cluster.submit(0, "k", true, true);
         if phase == "waits for acknowledgement" {
-            cluster.silent = (1..4).collect();
+            cluster.isolated = (1..4).collect();
         }
         if phase != "not sent" {
             assert_eq!(cluster.request_attempt(0, "k"), phase == "sent", "{phase}");
         }
         let now = cluster.now;
-        cluster.silent.clear();
-        cluster.nodes[0].as_mut().expect("it lives").client_disconnected(now, waiter);
+        cluster.isolated.clear();
+        cluster.nodes[0].as_mut().expect("the node runs").client_disconnected(now, waiter);
         cluster.execute_commands();
         assert_eq!(
             cluster.commands[0].contains(&Command::Revoke { key: key("k") }),
             phase != "sent",
             "{phase}"
         );
-        // Nor does another take it over when its owner is lost.
+        // When the owner is lost, no other node takes over a job that was not sent.
         cluster.nodes[0] = None;
         cluster.apply_member_list((1..4).collect());
         let starts = (1..4).filter(|&node| cluster.started(node, "k").is_some()).count();
@@ -295,18 +301,22 @@
 fn without_a_member_lease_nothing_starts_and_no_result_is_sent_until_it_is_renewed() {
     let mut cluster = Cluster::new(4, Settings::default());
     let waiter = cluster.submit(0, "k", true, true);
-    cluster.nodes[0].as_mut().expect("it lives").set_member_lease(cluster.now, 0);
+    cluster.nodes[0].as_mut().expect("the node runs").set_member_lease(cluster.now, 0);
     assert!(!cluster.request_attempt(0, "k"));
-    cluster.nodes[0].as_mut().expect("it lives").set_member_lease(cluster.now, u64::MAX);
+    cluster.nodes[0].as_mut().expect("the node runs").set_member_lease(cluster.now, u64::MAX);
     cluster.execute_commands();
     assert!(cluster.commands[0].contains(&Command::PermitAttempt { key: key("k"), attempt: 0 }));
-    cluster.nodes[0].as_mut().expect("it lives").set_member_lease(cluster.now, 0);
-    // No other process learns that it has ended.
-    cluster.silent = (1..4).collect();
+    cluster.nodes[0].as_mut().expect("the node runs").set_member_lease(cluster.now, 0);
+    // The other nodes do not learn that the job has ended.
+    cluster.isolated = (1..4).collect();
     cluster.finish_job(0, "k", JobOutcome::Served(Arc::from(&b"x"[..])));
-    assert_eq!(cluster.answer(0, waiter), None, "another process may own it by now");
+    assert_eq!(cluster.answer(0, waiter), None, "another node may own it by now");
     cluster.run(5_000);
-    assert_eq!(cluster.answer(0, waiter), Some(JobOutcome::Failed), "by its deadline nothing is promised");
+    assert_eq!(
+        cluster.answer(0, waiter),
+        Some(JobOutcome::Failed),
+        "at its deadline the outcome is still unconfirmed"
+    );
 }
 
 #[test]
@@ -322,9 +332,9 @@
         requires_replication: true,
         deadline,
     };
-    cluster.nodes[0].as_mut().expect("it lives").submit(cluster.now, waiter, key("k"), submission);
+    cluster.nodes[0].as_mut().expect("the node runs").submit(cluster.now, waiter, key("k"), submission);
     cluster.run(980);
     assert_eq!(cluster.answer(0, waiter), None);
     cluster.run(60);
-    assert_eq!(cluster.answer(0, waiter), Some(JobOutcome::Failed), "the job goes on, and may have run");
+    assert_eq!(cluster.answer(0, waiter), Some(JobOutcome::Failed), "the job continues, and may have run");
 }
--- a/crates/failover/tests/virtual_cluster/mod.rs
+++ b/crates/failover/tests/virtual_cluster/mod.rs
@@ -1,4 +1,4 @@
-//! Processes on a virtual clock, with messages delivered at once or dropped.
+//! A cluster of processes on a virtual clock; messages are delivered at once or dropped.
 #![allow(missing_docs, dead_code)]
 
 use brackenledge_failover::{
@@ -12,16 +12,18 @@
 pub struct Cluster {
     pub now: u64,
     pub nodes: Vec<Option<Failover>>,
-    /// Processes whose messages are dropped in both directions.
-    pub silent: BTreeSet<u16>,
-    /// Processes that receive nothing, while their own messages arrive.
-    pub deaf: BTreeSet<u16>,
-    pub list_number: u32,
-    /// The commands of each node beside messages, in order.
+    /// Nodes cut off in both directions: messages from and to them are dropped.
+    pub isolated: BTreeSet<u16>,
+    /// Nodes cut off in one direction: messages to them are dropped, their own arrive.
+    pub inbound_blocked: BTreeSet<u16>,
+    /// How many member lists have been applied; the last one's term has this step.
+    pub list_count: u32,
+    /// The commands of each node other than `Send`, in order.
     pub commands: Vec<Vec<Command>>,
     pub sent: Vec<SentMessage>,
+    /// The number of the last client that has submitted a job.
     pub waiter: u64,
-    /// Incarnations of nodes that continue under another than the first.
+    /// Incarnations of the nodes that run under another one than the first.
     pub incarnations: BTreeMap<u16, u64>,
 }
 
@@ -33,10 +35,10 @@
     pub message: Message,
 }
 
-/// How a job was started.
+/// How a node started a job.
 #[derive(Debug, PartialEq)]
 pub struct StartedJob {
-    /// The greatest age of an attempt of an earlier owner that may have run.
+    /// The maximum age of the attempt that may have run under an earlier owner, if there is one.
     pub prior_execution_age: Option<u64>,
     pub taken_over: bool,
 }
@@ -50,24 +52,24 @@
 }
 
 impl Cluster {
-    pub fn new(number: u16, settings: Settings) -> Cluster {
+    pub fn new(node_count: u16, settings: Settings) -> Cluster {
         let mut cluster = Cluster {
             now: 100_000 * MS,
             nodes: Vec::new(),
-            silent: BTreeSet::new(),
-            deaf: BTreeSet::new(),
-            list_number: 0,
-            commands: vec![Vec::new(); usize::from(number)],
+            isolated: BTreeSet::new(),
+            inbound_blocked: BTreeSet::new(),
+            list_count: 0,
+            commands: vec![Vec::new(); usize::from(node_count)],
             sent: Vec::new(),
             waiter: 0,
             incarnations: BTreeMap::new(),
         };
-        for node in 0..number {
-            let mut one = Failover::new(process(node), u32::from(node % 2), settings);
-            (0..number).for_each(|other| one.set_zone(other, u32::from(other % 2)));
-            cluster.nodes.push(Some(one));
+        for node in 0..node_count {
+            let mut failover = Failover::new(process(node), u32::from(node % 2), settings);
+            (0..node_count).for_each(|other| failover.set_zone(other, u32::from(other % 2)));
+            cluster.nodes.push(Some(failover));
         }
-        cluster.apply_member_list((0..number).collect());
+        cluster.apply_member_list((0..node_count).collect());
         cluster
     }
 
@@ -76,44 +78,44 @@
     }
 
     pub fn apply_member_list(&mut self, members: Vec<u16>) {
-        self.list_number += 1;
-        let term = Term { step: self.list_number, ..Term::default() };
+        self.list_count += 1;
+        let term = Term { step: self.list_count, ..Term::default() };
         let process = |&ordinal: &u16| ProcessId { ordinal, incarnation: self.incarnation(ordinal) };
         let all: Members = members.iter().map(process).collect();
         for node in members {
-            let one = self.nodes[usize::from(node)].as_mut().expect("it lives");
-            one.set_member_lease(self.now, u64::MAX);
-            one.apply_member_list(self.now, term, &all);
+            let failover = self.nodes[usize::from(node)].as_mut().expect("the node runs");
+            failover.set_member_lease(self.now, u64::MAX);
+            failover.apply_member_list(self.now, term, &all);
         }
         self.execute_commands();
     }
 
     pub fn execute_commands(&mut self) {
         loop {
-            let mut quiet = true;
+            let mut idle = true;
             for node in 0..self.nodes.len() {
                 while let Some(command) = self.nodes[node].as_mut().and_then(Failover::poll_command) {
-                    quiet = false;
+                    idle = false;
                     let Command::Send { to, message, .. } = command else {
                         self.commands[node].push(command);
                         continue;
                     };
                     let from = node as u16;
                     self.sent.push(SentMessage { from, to: to.ordinal, message: message.clone() });
-                    let (sender, meant) = (
+                    let (sender, to_current_incarnation) = (
                         ProcessId { ordinal: from, incarnation: self.incarnation(from) },
                         self.incarnation(to.ordinal) == to.incarnation,
                     );
-                    let received = meant
-                        && !self.silent.contains(&from)
-                        && !self.silent.contains(&to.ordinal)
-                        && !self.deaf.contains(&to.ordinal);
-                    if let Some(other) = self.nodes[usize::from(to.ordinal)].as_mut().filter(|_| received) {
-                        other.handle_message(self.now, sender, message);
+                    let received = to_current_incarnation
+                        && !self.isolated.contains(&from)
+                        && !self.isolated.contains(&to.ordinal)
+                        && !self.inbound_blocked.contains(&to.ordinal);
+                    if let Some(target) = self.nodes[usize::from(to.ordinal)].as_mut().filter(|_| received) {
+                        target.handle_message(self.now, sender, message);
                     }
                 }
             }
-            if quiet {
+            if idle {
                 return;
             }
         }
@@ -128,8 +130,8 @@
             requires_replication,
             deadline,
         };
-        let one = self.nodes[usize::from(node)].as_mut().expect("it lives");
-        one.submit(self.now, self.waiter, key(name), submission);
+        let failover = self.nodes[usize::from(node)].as_mut().expect("the node runs");
+        failover.submit(self.now, self.waiter, key(name), submission);
         self.execute_commands();
         self.waiter
     }
@@ -137,18 +139,19 @@
     pub fn run(&mut self, ms: u64) {
         for _ in 0..ms / 20 {
             self.now += 20 * MS;
-            for one in self.nodes.iter_mut().flatten() {
-                one.handle_timeout(self.now);
+            for failover in self.nodes.iter_mut().flatten() {
+                failover.handle_timeout(self.now);
             }
             self.execute_commands();
         }
     }
 
-    /// Requests the first attempt of a job; whether it is permitted, at once or by an acknowledgement.
+    /// Requests the first attempt of a job, and returns whether it is permitted, at once or by an
+    /// acknowledgement.
     pub fn request_attempt(&mut self, node: u16, name: &str) -> bool {
         let deadline = self.now + 5_000 * MS;
-        let one = self.nodes[usize::from(node)].as_mut().expect("it lives");
-        let at_once = one.request_attempt(self.now, &key(name), 0, "w1", deadline);
+        let failover = self.nodes[usize::from(node)].as_mut().expect("the node runs");
+        let at_once = failover.request_attempt(self.now, &key(name), 0, "w1", deadline);
         self.execute_commands();
         at_once
             || self.commands[usize::from(node)]
@@ -156,12 +159,12 @@
     }
 
     pub fn finish_job(&mut self, node: u16, name: &str, outcome: JobOutcome) {
-        let one = self.nodes[usize::from(node)].as_mut().expect("it lives");
-        one.job_finished(self.now, &key(name), outcome);
+        let failover = self.nodes[usize::from(node)].as_mut().expect("the node runs");
+        failover.job_finished(self.now, &key(name), outcome);
         self.execute_commands();
     }
 
-    /// What this waiter has been answered.
+    /// The outcome that this waiter was answered with, if it was.
     pub fn answer(&self, node: u16, waiter: u64) -> Option<JobOutcome> {
         self.commands[usize::from(node)].iter().find_map(|command| match command {
             Command::Answer { waiters, outcome } if waiters.contains(&waiter) => Some(outcome.clone()),
@@ -169,10 +172,10 @@
         })
     }
 
-    /// How a node has started this job last.
+    /// How a node last started this job, if it did.
     pub fn started(&self, node: u16, name: &str) -> Option<StartedJob> {
         self.commands[usize::from(node)].iter().rev().find_map(|command| match command {
-            Command::StartJob { key: of, prior_execution, taken_over, .. } if *of == key(name) => {
+            Command::StartJob { key: job, prior_execution, taken_over, .. } if *job == key(name) => {
                 Some(StartedJob {
                     prior_execution_age: prior_execution.as_ref().map(|prior| prior.max_age),
                     taken_over: *taken_over,
@@ -182,7 +185,7 @@
         })
     }
 
-    /// The coordinator of a key, by where the claim of this process goes.
+    /// The coordinator of a key: the node to which the claimant sent its claim, or the claimant itself.
     pub fn coordinator(&mut self, name: &str, claimant: u16) -> u16 {
         let found = self.sent.iter().find_map(|SentMessage { from, to, message }| match message {
             Message::ClaimRequest { record, .. } if record.key == key(name) && *from == claimant => Some(*to),
@@ -191,16 +194,16 @@
         found.unwrap_or(claimant)
     }
 
-    /// A name whose coordinator is none of these.
-    pub fn name_away_from(&mut self, number: u16, others: &[u16]) -> String {
-        for at in 0..1_000 {
-            let name = format!("probe-{at}");
-            let mut probe = Cluster::new(number, Settings::default());
-            probe.submit(others[0], &name, true, true);
-            if !others.contains(&probe.coordinator(&name, others[0])) {
+    /// A name whose coordinator, in a cluster of `node_count` nodes, is none of the excluded ones.
+    pub fn name_coordinated_elsewhere(&mut self, node_count: u16, excluded: &[u16]) -> String {
+        for index in 0..1_000 {
+            let name = format!("probe-{index}");
+            let mut probe = Cluster::new(node_count, Settings::default());
+            probe.submit(excluded[0], &name, true, true);
+            if !excluded.contains(&probe.coordinator(&name, excluded[0])) {
                 return name;
             }
         }
-        unreachable!("some key has another coordinator")
+        unreachable!("none of 1000 names has another coordinator")
     }
 }
