--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -1,17 +1,18 @@
-//! State of a voter that stands for election: its campaign, and when it goes on.
+//! State of a voter that stands for election: its campaign, and when the next step of the campaign is due.
 
 use crate::{AcceptedView, Ballot, Micros, ProcessId, View};
 use std::collections::BTreeMap;
 
-/// An attempt to be elected, and the leadership that follows from it: it ends with the view or with a later ballot.
+/// An attempt to be elected, and the leadership that results from it. It ends when another view is entered or
+/// a later ballot is promised.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Campaign {
     pub(crate) ballot: Ballot,
-    /// Not elected by then, the candidate begins another campaign with a higher ballot.
+    /// If the candidate is not elected by this time, it begins another campaign with a higher ballot.
     pub(crate) deadline: Micros,
-    /// Voters that promised, and the next view that each has accepted.
+    /// Voters that promised, each with the next view that it has accepted, if any.
     pub(crate) promises: BTreeMap<ProcessId, Option<AcceptedView>>,
-    /// Voters that granted the lease, and when it was last requested from each of them.
+    /// Voters that granted the lease, each with the time of the latest request that it granted.
     pub(crate) lease_grants: BTreeMap<ProcessId, Micros>,
     pub(crate) proposal: Option<Proposal>,
     /// Whether a majority has promised.
@@ -31,41 +32,42 @@
     }
 }
 
-/// The next view as this process proposes it.
+/// The next view that this process proposes, and the voters that have accepted it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Proposal {
     pub(crate) view: View,
     pub(crate) accepted_by: Vec<ProcessId>,
 }
 
-/// State of a candidate, and of the leader that it becomes. Default in a process that has never been one.
+/// State of a candidate, and of the leader that it becomes. Has its default value in a process that has never
+/// been a candidate.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Candidate {
     pub(crate) campaign: Option<Campaign>,
     /// The highest ballot counter known in this view.
     pub(crate) highest_counter: u32,
-    /// This process has given another candidate time since its own last campaign.
+    /// Whether this process has deferred to another candidate since its own last campaign.
     pub(crate) deferred: bool,
-    /// When the campaign, or the heartbeat of the leader that follows from it, goes on.
+    /// When the next step of the campaign, or of the resulting leadership, is due.
     pub(crate) next_step_at: Micros,
 }
 
 impl Candidate {
-    /// Another view begins: campaigns and ballots start over.
+    /// Resets the campaign and the ballot counter for another view.
     pub(crate) fn enter_view(&mut self, next_step_at: Micros) {
         self.campaign = None;
         self.highest_counter = 0;
         self.next_step_at = next_step_at;
     }
 
-    /// Lets a campaign begin after `delay`, if none is due earlier or has begun.
+    /// Schedules a campaign after `delay`, unless one is in progress or due earlier.
     pub(crate) fn schedule_campaign(&mut self, now: Micros, delay: Micros) {
         if self.campaign.is_none() {
             self.next_step_at = self.next_step_at.min(now + delay);
         }
     }
 
-    /// A campaign that a majority has promised to support.
+    /// The campaign, if a majority has promised.
     pub(crate) fn elected_campaign(&mut self) -> Option<&mut Campaign> {
         self.campaign.as_mut().filter(|campaign| campaign.elected)
     }
--- a/crates/leases/src/command.rs
+++ b/crates/leases/src/command.rs
@@ -2,48 +2,48 @@
 
 use crate::{Epoch, Message, ProcessId, Role, Term, View};
 
-/// What the caller is to do.
+/// An instruction to the caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Command {
     /// Send a message to one scheduler.
     Send {
-        /// Its ordinal.
+        /// Ordinal of the receiver.
         to: u16,
-        /// The message.
+        /// Never larger than [`crate::MAX_MESSAGE_LENGTH`] when encoded.
         message: Message,
     },
     /// Send a message to all other schedulers.
     Broadcast(Message),
-    /// This process has acquired a role lease, or has lost it (`None`).
+    /// This process has acquired or lost a role lease.
     RoleLeaseChanged {
-        /// The role.
+        /// Role of the lease.
         role: Role,
-        /// The term of the lease that is held now.
+        /// Term of the lease that is held now. `None`: the lease was released or has expired.
         term: Option<Term>,
     },
-    /// Something happened that operators want to see in the log.
+    /// Write an event to the log.
     Event(Event),
 }
 
-/// What operators see in the log.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// A view without a leader was abandoned, since too few of its voters are alive to elect one.
+    /// A view without a leader was abandoned, because too few of its voters are alive to elect one.
     ViewAbandoned {
-        /// The view's epoch.
+        /// Epoch of the abandoned view.
         epoch: Epoch,
-        /// How many of its voters are alive.
+        /// Number of its voters that are alive; fewer than a majority.
         live_voters: usize,
     },
-    /// Another process told of a later view.
+    /// This process entered a later view that another process announced.
     ViewEntered(View),
-    /// This process, as proposer, saw the next view chosen.
+    /// This process proposed the next view, and a majority of the voters accepted it.
     ViewChosen(View),
-    /// This process was elected leader.
+    /// This process became the leader of the view of this epoch.
     LeadershipAcquired(Epoch),
-    /// This process is the leader no longer.
+    /// This process is no longer the leader.
     LeadershipLost(LeadershipLoss),
-    /// Another process is the leader now.
+    /// Another process has announced itself as the leader.
     LeaderChanged(ProcessId),
     /// This process, as the leader, granted a role to a new holder.
     RoleLeaseGranted {
@@ -51,14 +51,14 @@
         role: Role,
         /// Term of the grant.
         term: Term,
-        /// To whom.
+        /// The new holder.
         holder: ProcessId,
     },
     /// A holder gave a role lease back to this process, which is the leader.
     RoleLeaseReleased {
-        /// The role.
+        /// The role, which is free now.
         role: Role,
-        /// The holder until now.
+        /// The process that held it.
         holder: ProcessId,
     },
     /// This process holds a role lease under a new term.
@@ -72,11 +72,11 @@
     RoleLeaseExpired(Role),
 }
 
-/// Why a process is the leader no longer.
+/// Why a process is no longer the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum LeadershipLoss {
     /// Its lease was not renewed in time.
     LeaseExpired,
-    /// Another leader was elected under a later ballot.
+    /// The named process was elected under a later ballot.
     LaterBallot(ProcessId),
 }
--- a/crates/leases/src/dispatch.rs
+++ b/crates/leases/src/dispatch.rs
@@ -1,15 +1,17 @@
-//! Incoming messages: what every one is checked for, and which handler takes it.
+//! Incoming messages: the checks common to all of them, and the dispatch to their handlers.
 
 use crate::heartbeat::ViewUpdate;
 use crate::role_leases::RoleLeaseGrant;
 use crate::voter::Vote;
 use crate::{Ballot, Epoch, KnownLeader, LeaseManager, Message, Micros, ProcessId, View};
 
-/// The previous leader's release lets voters begin campaigns in turn, by so many parts of a heartbeat interval.
-const RELEASE_TURNS_PER_HEARTBEAT: Micros = 8;
+/// After the leader has released its lease, the voters' campaigns are staggered in steps of the heartbeat
+/// interval divided by this number.
+const RELEASE_STAGGER_STEPS_PER_HEARTBEAT: Micros = 8;
 
 impl LeaseManager {
-    /// Handles a message. `from` is the ordinal of the scheduler whose address it came from.
+    /// Handles a message. `from` is the ordinal of the scheduler from whose address it was received; the
+    /// message is dropped if it names another sender.
     pub fn handle_message(&mut self, now: Micros, from: u16, message: Message) {
         if self.leaving && !self.needed_while_leaving(&message) {
             return;
@@ -73,8 +75,8 @@
         }
     }
 
-    /// A process that leaves does nothing more for others, but may still be in the member list and must know in which
-    /// one.
+    /// Whether a process that shuts down still handles the message. It no longer votes, grants or requests
+    /// anything, but it may still hold a member lease, and then must follow the changes of the member list.
     fn needed_while_leaving(&self, message: &Message) -> bool {
         let lists = matches!(message, Message::ViewUpdate { .. } | Message::MemberListPart { .. });
         lists && self.settings.member_lease_duration > 0
@@ -87,7 +89,7 @@
         }
     }
 
-    /// As a voter: answers a candidate that asks for a promise.
+    /// As a voter: answers `Prepare`.
     fn handle_prepare(&mut self, now: Micros, from: ProcessId, epoch: Epoch, ballot: Ballot) {
         if !self.may_vote(now, from, epoch) {
             return;
@@ -99,7 +101,7 @@
         self.send_vote(from, vote);
     }
 
-    /// As a voter: answers a candidate or leader that asks for the lease.
+    /// As a voter: answers `LeaseRequest`.
     fn handle_lease_request(
         &mut self,
         now: Micros,
@@ -114,7 +116,7 @@
         }
     }
 
-    /// As a voter: answers a leader that proposes the next view.
+    /// As a voter: answers `Accept`.
     fn handle_accept(&mut self, now: Micros, from: ProcessId, epoch: Epoch, ballot: Ballot, next_view: View) {
         if self.may_vote(now, from, epoch) {
             let vote = self.voter.vote_on_view(from, ballot, next_view);
@@ -126,8 +128,8 @@
         self.send(to, vote.into_message(self.me, self.view.epoch));
     }
 
-    /// Whether this process votes in the view in which another one asks. A process that is behind is told of the view,
-    /// and asked for it if this one is behind.
+    /// Whether this process votes on a request of the view of `epoch`. If the sender's view is outdated,
+    /// sends it the current view; if this process's own view is outdated, asks the sender for the later one.
     fn may_vote(&mut self, now: Micros, from: ProcessId, epoch: Epoch) -> bool {
         if epoch < self.view.epoch {
             self.send_view(from);
@@ -138,19 +140,20 @@
             self.send(from, Message::JoinRequest { from: self.me, latest_epoch });
             return false;
         }
-        // In the bootstrap view a process that has just started listens first: it may have voted before its restart.
+        // In the bootstrap view, a process that has just started does not vote yet: it may have voted before
+        // a restart.
         let ready = !self.view.is_bootstrap() || now >= self.started_at + self.settings.bootstrap_timeout;
         ready && self.is_voter(self.me) && self.is_voter(from)
     }
 
     fn handle_lease_release(&mut self, now: Micros, from: ProcessId, epoch: Epoch, ballot: Ballot) {
         if epoch == self.view.epoch && self.voter.release_lease(from, ballot) {
-            let delay = self.rank() * self.settings.heartbeat_interval / RELEASE_TURNS_PER_HEARTBEAT;
+            let delay = self.rank() * self.settings.heartbeat_interval / RELEASE_STAGGER_STEPS_PER_HEARTBEAT;
             self.candidate.schedule_campaign(now, delay);
         }
     }
 
-    /// As a candidate or leader: counts a vote of the view's voters.
+    /// As a candidate or leader: counts a vote from a voter of the current view, and ignores any other.
     fn handle_vote(&mut self, now: Micros, from: ProcessId, epoch: Epoch, vote: Vote) {
         if epoch == self.view.epoch && self.is_voter(from) {
             self.count_vote(now, from, vote);
--- a/crates/leases/src/heartbeat.rs
+++ b/crates/leases/src/heartbeat.rs
@@ -1,15 +1,15 @@
-//! The leader's heartbeat: view updates with the holders of roles, and what other processes learn from them.
+//! The leader's heartbeat: view updates with the holders of roles, and their handling by other processes.
 
 use crate::election::MISSED_HEARTBEATS;
 use crate::message::MAX_ROLE_GRANTS;
 use crate::{Event, KnownLeader, LeadershipLoss, LeaseManager, Message, Micros, ProcessId, RoleGrant, View};
 
-/// What a process tells of its view.
+/// Content of [`Message::ViewUpdate`].
 pub(crate) struct ViewUpdate {
     pub(crate) view: View,
     /// The view's leader, if the sender knows one.
     pub(crate) leader: Option<KnownLeader>,
-    /// By the leader itself: who holds which role.
+    /// Filled in by the leader only.
     pub(crate) role_grants: Vec<RoleGrant>,
 }
 
@@ -26,7 +26,8 @@
 }
 
 impl LeaseManager {
-    /// Sends all that the view has a leader, who holds which role, and now and then who is a member.
+    /// As the leader: broadcasts the view, its leader and the holders of roles, and the member list if it is
+    /// due.
     pub(crate) fn heartbeat(&mut self, now: Micros) {
         let Some(lease) = self.leadership.lease(now) else { return };
         if lease.epoch != self.view.epoch {
@@ -42,7 +43,7 @@
         self.update_member_list(now, lease);
     }
 
-    /// Tells a process that is behind of the view.
+    /// Sends the current view to a process whose view is outdated.
     pub(crate) fn send_view(&mut self, to: ProcessId) {
         let update =
             ViewUpdate { view: self.view.clone(), leader: self.known_leader, role_grants: Vec::new() };
@@ -62,7 +63,7 @@
         }
         let epoch = view.epoch;
         self.follow_view(now, view, leader.map(|leader| leader.process));
-        // Only the leader itself says that it is one.
+        // An announcement of a leader counts only if the leader itself sent it.
         let sender = leader.filter(|leader| leader.process == from && epoch == self.view.epoch);
         let Some(leader) = sender else { return };
         if self.known_leader.is_some_and(|known| leader.ballot < known.ballot) {
@@ -73,7 +74,8 @@
     }
 
     fn follow_leader(&mut self, now: Micros, leader: KnownLeader) {
-        // Two hold the lease only if a clock has gone wrong. The majority of the later ballot is the later one.
+        // Two processes can hold the lease at the same time only if a clock has drifted by more than the
+        // bound. The lease of the higher ballot was granted later, so it prevails.
         let lease = self.leadership.lease(now);
         if lease.is_some_and(|lease| lease.epoch == self.view.epoch && lease.ballot < leader.ballot) {
             self.resign(now);
@@ -85,8 +87,8 @@
         self.known_leader = Some(leader);
         self.last_leader_contact = now;
         if !self.is_leader(now) {
-            let patience = MISSED_HEARTBEATS * self.settings.heartbeat_interval;
-            self.candidate.schedule_campaign(now, patience);
+            let leader_timeout = MISSED_HEARTBEATS * self.settings.heartbeat_interval;
+            self.candidate.schedule_campaign(now, leader_timeout);
         }
     }
 }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -1,47 +1,51 @@
-//! Leader election and role leases: at most one holder of each role of a cluster at any time.
+//! Leader election and role leases: each role of a cluster has at most one holder at any time.
 //!
-//! **The invariant.** No two processes act in a role under the same term. Whoever has accepted a fenced message of a term
-//! accepts none of an older one. And while no clock drifts by more than [`Settings::clock_drift_divisor`] allows, no two
-//! processes believe at the same time that they hold the same role.
+//! **Invariants.** No two processes act in a role under the same term. A receiver that has accepted a fenced
+//! message of a term rejects messages of older terms. While no clock drifts by more than
+//! [`Settings::clock_drift_divisor`] allows, no two processes consider themselves the holder of the same role
+//! at the same time.
 //!
-//! A *view* names three or five voters. A voter is a process (ordinal and incarnation), so one that has lost its memory is
-//! no voter. The next view is chosen by Paxos among the voters of the last one (L. Lamport, "Paxos made simple", 2001), so
-//! there is at most one for each epoch. In a view one process, the *leader*, holds a lease of a majority of the voters and
-//! renews it while it lives (after M. Trencseni, A. Gazso, H. Reinhardt, "PaxosLease: diskless Paxos for leases", 2012): a
-//! voter that has granted the lease grants it to no other process until it is over by the voter's own clock. The leader
-//! grants each role to one holder, for no longer than its own lease lasts. A term is (epoch, ballot, step): a new leader
-//! has a higher ballot, since its majority shares a voter with the last one, and each grant to another holder has a
-//! higher step.
+//! A *view* names three or five voters. A voter is identified by ordinal and incarnation, so a process that
+//! has restarted, and thereby lost its state, is no longer a voter. The voters of a view choose the next view
+//! by Paxos (L. Lamport, "Paxos made simple", 2001), so there is at most one view for each epoch. In each
+//! view one process, the *leader*, holds a lease granted by a majority of the voters and renews it while it
+//! runs (after M. Trencseni, A. Gazso, H. Reinhardt, "PaxosLease: diskless Paxos for leases", 2012): a voter
+//! that has granted the lease grants it to no other process until it has expired by the voter's own clock.
+//! The leader grants each role to one holder, for no longer than its own lease lasts. A term is (epoch,
+//! ballot, step): a new leader has a higher ballot, since its majority shares a voter with that of the
+//! previous leader, and each grant to another holder has a higher step.
 //!
-//! Times are the caller's, in microseconds on a clock that goes on while the process is stopped. A holder counts its lease
-//! from its *request*; a grantor counts it from the *grant*, and longer by the drift allowed. So a late answer only
-//! shortens a lease. [`LeaseManager::holds_lease`] is to be checked at the moment of each action. A pause between the
-//! check and the action makes the action late; receivers reject it by its term ([`FencingGuard`]) once they know of a
-//! newer one.
+//! Times are passed in by the caller, in microseconds on a clock that keeps running while the process is
+//! stopped. A holder counts its lease from its *request*; a grantor counts it from the *grant*, and longer by
+//! the allowed drift. A late answer therefore only shortens a lease. Check [`LeaseManager::holds_lease`]
+//! immediately before each action. A pause between the check and the action makes the action late; receivers
+//! reject it by its term ([`FencingGuard`]) once they know of a newer one.
 //!
-//! | message | lost | repeated | late |
+//! | message | if lost | if repeated | if late |
 //! | --- | --- | --- | --- |
-//! | `Prepare`, `LeaseRequest`, `Accept` | sent again after [`Settings::heartbeat_interval`] or earlier | granted again to the same process | rejected by its ballot or epoch, or blocks others for one lease, as one granted now would |
-//! | `Promise`, `LeaseGrant`, `Accepted` | like a rejection | counted once for each voter | not counted: its ballot is over, or its lease counts from the request |
-//! | `ViewUpdate`, `MemberListPart` | sent again with a later heartbeat | no change | older terms are ignored |
-//! | `RoleLeaseRequest`, `RoleLeaseGrant` | sent again each heartbeat | no change | counted from the request |
-//! | `LeaseRelease`, `RoleLeaseRelease` | the lease expires | no change | ignored: its ballot or term is over |
+//! | `Prepare`, `LeaseRequest`, `Accept` | resent after [`Settings::heartbeat_interval`] or earlier | granted again to the same process | rejected by its ballot or epoch; otherwise blocks other candidates for one lease duration, like a lease granted on time |
+//! | `Promise`, `LeaseGrant`, `Accepted` | same effect as a rejection | counted once for each voter | not counted: its ballot is outdated, or its lease, counted from the request, has expired |
+//! | `ViewUpdate`, `MemberListPart` | resent with a later heartbeat | no effect | older terms are ignored |
+//! | `RoleLeaseRequest`, `RoleLeaseGrant` | resent with each heartbeat | no effect | the lease counts from the request |
+//! | `LeaseRelease`, `RoleLeaseRelease` | the lease expires | no effect | ignored: its ballot or term is outdated |
 //! | `JoinRequest` | repeated | answered again | answered |
-//! | `MemberLeaseRequest` | sent again each heartbeat | granted again | granted from now on: its sender is left out of the list so much later |
-//! | `MemberLeaseGrant` | requested again each heartbeat | no change | ignored, or counted from the request |
-//! | `MemberLeaseRelease` | the lease expires | no change | no change: a process that leaves requests no more |
+//! | `MemberLeaseRequest` | resent with each heartbeat | granted again | granted from its arrival: the sender stays in the list that much longer |
+//! | `MemberLeaseGrant` | requested again with each heartbeat | no effect | ignored, or the lease counts from the request |
+//! | `MemberLeaseRelease` | the lease expires | no effect | no effect: a process that leaves sends no further requests |
 //!
-//! A member may also hold a *member lease*. If it does not renew it, the leader leaves it out of the member list until it
-//! asks again. While the lease lasts by the member's own clock, no leader has made a list without it. So whatever others
-//! do because of a list without that member comes after it has stopped by itself. A new leader does not know what the last
-//! one granted. It leaves no member of the last list out for the length of one member lease, except the last leader,
-//! whose member lease is its leader's lease. A process that joined so shortly before that the new leader did not know of
-//! it is not covered by this.
+//! A member may also hold a *member lease*. If the member does not renew it, the leader removes it from the
+//! member list until it requests a lease again. While the lease lasts by the member's own clock, no leader
+//! has published a list without it. Whatever others do because a list lacks that member therefore happens
+//! after the member has stopped by itself. A new leader does not know which leases its predecessor granted,
+//! so it keeps every member of the last list for the length of one member lease, except the previous leader,
+//! whose member lease is its leader's lease. This does not cover a process that joined so recently that the
+//! new leader does not know of it.
 //!
-//! **Limits.** If a majority of all schedulers lose their memory at once, and only then, the cluster bootstraps again
-//! ([`Settings::view_abandon_timeout`]). If all of these are cut off at that time from live voters, there are two leaders
-//! under different epochs until the two sides meet, and terms decide. Processes are trusted, and known by nothing but
-//! their addresses. No I/O, no clock, no randomness.
+//! **Limits.** The cluster bootstraps again if, and only if, a majority of all schedulers lose their state at
+//! once ([`Settings::view_abandon_timeout`]). If all of these are cut off from the live voters at that time,
+//! there are two leaders under different epochs until the partition heals; the terms then decide between
+//! them. Processes are trusted, and identified only by their addresses. The crate uses no I/O, no clock and
+//! no randomness.
 
 mod active_members;
 mod candidate;
@@ -80,35 +84,35 @@
 use std::collections::VecDeque;
 use voter::Voter;
 
-/// Microseconds on the caller's clock, which goes on while the process is stopped.
+/// Microseconds on the caller's clock, which keeps running while the process is stopped.
 pub type Micros = u64;
 
-/// A role's number. What the roles are is the caller's concern.
+/// Number of a role. The caller defines what each role does.
 pub type Role = u8;
 
-/// The leader of the view, by its own last update.
+/// The leader of the view, as announced by its own last view update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct KnownLeader {
     process: ProcessId,
     ballot: Ballot,
 }
 
-/// One process's part in views, leader election and role leases: a state machine without I/O. Messages and time go in by
-/// [`LeaseManager::handle_message`] and [`LeaseManager::handle_timeout`], commands come out by
-/// [`LeaseManager::poll_command`].
+/// State machine of one process for views, leader election and role leases. It does no I/O: messages and time
+/// are passed to [`LeaseManager::handle_message`] and [`LeaseManager::handle_timeout`], and
+/// [`LeaseManager::poll_command`] returns the commands to carry out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseManager {
     me: ProcessId,
     settings: Settings,
-    /// For the era of a cluster that bootstraps.
+    /// Wall-clock time at the start, used as the era when the cluster bootstraps.
     started_unix_seconds: u32,
     started_at: Micros,
-    /// Live members by membership, this process included.
+    /// Processes that membership reports as alive, including this one.
     alive_members: Members,
     view: View,
-    /// The latest epoch known. A cluster that bootstraps begins a later one.
+    /// The latest epoch known. A bootstrap starts a later one.
     latest_epoch: Epoch,
-    /// Views up to this one were abandoned: this process votes in them no more.
+    /// Views up to this epoch were abandoned: this process no longer votes in them.
     abandoned_epoch: Epoch,
     last_leader_contact: Micros,
     known_leader: Option<KnownLeader>,
@@ -119,17 +123,18 @@
     member_list: MemberList,
     partial_member_list: PartialMemberList,
     next_join_request_at: Micros,
-    /// Until when this process may count on being in the member list, if it is not the leader.
+    /// When the member lease granted to this process expires. 0 if it holds none.
     member_lease_expires_at: Micros,
     member_lease_requested_at: Micros,
     leaving: bool,
     commands: VecDeque<Command>,
-    /// Number of messages dropped, since their sender, epoch or ballot was impossible.
+    /// Number of messages dropped because their sender or their content was invalid.
     pub dropped_messages: u64,
 }
 
 impl LeaseManager {
-    /// A process that has just started and remembers nothing. `unix_seconds`: the time by the wall clock.
+    /// A process that has just started, without any state of an earlier run. `unix_seconds` is the wall-clock
+    /// time.
     pub fn new(now: Micros, me: ProcessId, unix_seconds: u32, settings: Settings) -> LeaseManager {
         LeaseManager {
             me,
@@ -157,7 +162,7 @@
         }
     }
 
-    /// A process that has just started in a view that others are in too. For models and tests, which need no bootstrap.
+    /// A process that starts in a given view, for models and tests that skip the bootstrap.
     pub fn in_view(now: Micros, me: ProcessId, settings: Settings, view: View) -> LeaseManager {
         let mut manager = LeaseManager::new(now, me, 1, settings);
         manager.latest_epoch = view.epoch;
@@ -165,13 +170,14 @@
         manager
     }
 
-    /// The latest epoch known. A caller that stores it must do so before it carries out any command that was given since
-    /// it changed.
+    /// The latest epoch known. A caller that persists it must do so before it carries out any command
+    /// returned after it changed.
     pub fn latest_epoch(&self) -> Epoch {
         self.latest_epoch
     }
 
-    /// Restores an epoch that an earlier process of this ordinal knew of: whatever this one bootstraps is later.
+    /// Restores an epoch that an earlier process of this ordinal has persisted, so that a bootstrap by this
+    /// process starts a later one.
     pub fn restore_epoch(&mut self, epoch: Epoch) {
         self.latest_epoch = self.latest_epoch.max(epoch);
     }
@@ -181,30 +187,32 @@
         self.me
     }
 
-    /// Sets the live members, as membership knows them.
+    /// Sets the processes that membership reports as alive. This process is always included.
     pub fn set_alive_members(&mut self, members: impl IntoIterator<Item = ProcessId>) {
         self.alive_members = members.into_iter().collect();
         self.alive_members.insert(self.me);
     }
 
-    /// The term under which this process holds a role at this moment, if it does. To be checked before each action.
+    /// The term under which this process holds a role at `now`, if it does. Check it before each action.
     pub fn holds_lease(&self, now: Micros, role: Role) -> Option<Term> {
         self.role_leases.held_term(now, role)
     }
 
-    /// The leader's last member list: all processes that have received it agree on it.
+    /// The last member list received, or made by this process as the leader. Lists of the same term are equal
+    /// in all processes.
     pub fn member_list(&self) -> &MemberList {
         &self.member_list
     }
 
-    /// Until when, by its own clock, this process may count on being in the member list: no leader has made one without
-    /// it before that. `None`: no longer.
+    /// When this process's member lease expires, by its own clock: before that, no leader publishes a member
+    /// list without it. `None` if it holds none. The leader's own lease counts as its member lease.
     pub fn member_lease(&self, now: Micros) -> Option<Micros> {
         let as_leader = self.leadership.lease(now).map(|lease| lease.expires_at);
         as_leader.max(Some(self.member_lease_expires_at)).filter(|&expires_at| now < expires_at)
     }
 
-    /// Length of the member list, if this process is on it and heard from its leader lately.
+    /// Length of the member list. `None` if this process is not on it, or has had no update from the leader
+    /// within [`Settings::bootstrap_timeout`].
     pub fn active_member_count(&self, now: Micros) -> Option<usize> {
         let recent = now < self.last_leader_contact + self.settings.bootstrap_timeout;
         let listed = self.member_list.members.contains(self.me) && !self.view.is_bootstrap();
@@ -212,22 +220,22 @@
         (leader_known && listed).then_some(self.member_list.members.len())
     }
 
-    /// The view, if the cluster has one.
+    /// The current view. `None` if this process is in no view: it has not joined one or has abandoned it.
     pub fn view(&self) -> Option<&View> {
         (!self.view.is_bootstrap()).then_some(&self.view)
     }
 
-    /// Whether this process is the leader at this moment.
+    /// Whether this process holds the leader's lease at `now`.
     pub fn is_leader(&self, now: Micros) -> bool {
         self.leadership.lease(now).is_some()
     }
 
-    /// What the caller is to do next.
+    /// Returns the next command for the caller to carry out, in order.
     pub fn poll_command(&mut self) -> Option<Command> {
         self.commands.pop_front()
     }
 
-    /// When [`LeaseManager::handle_timeout`] is to be called next.
+    /// When to call [`LeaseManager::handle_timeout`] next: at most one heartbeat interval after `now`.
     pub fn next_timeout(&self, now: Micros) -> Micros {
         let abandon_at = self.last_leader_contact + self.settings.view_abandon_timeout;
         let timeouts = [
@@ -240,7 +248,7 @@
         timeouts.into_iter().filter(|&at| at > now).min().unwrap_or(latest).min(latest)
     }
 
-    /// Does what is due.
+    /// Expires leases, and starts or repeats every request that is due at `now`.
     pub fn handle_timeout(&mut self, now: Micros) {
         if self.leaving {
             return;
@@ -253,16 +261,17 @@
         self.request_member_lease(now);
     }
 
-    /// Gives the member lease back: nothing that this process does has to be waited for any more.
+    /// Gives the member lease back. Call it once this process has stopped all actions that the lease
+    /// protects.
     pub fn release_member_lease(&mut self) {
         self.member_lease_expires_at = 0;
-        // Twice: a lost release costs the others a lease.
+        // Sent twice: if the release is lost, the others have to wait until the lease expires.
         self.broadcast(Message::MemberLeaseRelease { from: self.me });
         self.broadcast(Message::MemberLeaseRelease { from: self.me });
     }
 
-    /// Stops on purpose. All leases but the member lease are given back at once, so that nobody has to wait for their
-    /// end.
+    /// Shuts down in an orderly way. Releases all leases except the member lease at once, so that the others
+    /// need not wait until they expire.
     pub fn leave(&mut self, now: Micros) {
         if std::mem::replace(&mut self.leaving, true) {
             return;
@@ -275,13 +284,13 @@
         }
         if let Some(ballot) = self.resign(now) {
             let epoch = self.view.epoch;
-            // Twice: a lost release costs the others a lease.
+            // Sent twice: if the release is lost, the others have to wait until the lease expires.
             self.broadcast(Message::LeaseRelease { from: self.me, epoch, ballot });
             self.broadcast(Message::LeaseRelease { from: self.me, epoch, ballot });
         }
     }
 
-    /// Looks for a view, if that is due.
+    /// Asks the other processes for the current view, if this one knows none and a request is due.
     fn request_to_join(&mut self, now: Micros) {
         if self.view.is_bootstrap() && now >= self.next_join_request_at {
             self.next_join_request_at = now + self.settings.heartbeat_interval;
@@ -289,7 +298,7 @@
         }
     }
 
-    /// Whether a process is a voter of the view.
+    /// In the bootstrap view, every scheduler of the cluster is a voter.
     fn is_voter(&self, process: ProcessId) -> bool {
         if self.view.is_bootstrap() {
             process.ordinal < self.settings.cluster_size
@@ -308,7 +317,8 @@
         voters / 2 + 1
     }
 
-    /// Number of voters, or of live members in the bootstrap view, with lower ordinals: for turns.
+    /// Number of voters, or of live members in the bootstrap view, with lower ordinals. Staggers the
+    /// candidates.
     fn rank(&self) -> u64 {
         let before = |ordinal: u16| ordinal < self.me.ordinal;
         let count = if self.view.is_bootstrap() {
@@ -321,8 +331,8 @@
 
     fn send(&mut self, to: ProcessId, message: Message) {
         if to == self.me {
-            // This process's own votes are counted in the same step, and never queued.
-            debug_assert!(false, "message to itself: {message:?}");
+            // This process counts its own votes directly, without a message.
+            debug_assert!(false, "message addressed to its own sender: {message:?}");
             return;
         }
         self.commands.push_back(Command::Send { to: to.ordinal, message });
--- a/crates/leases/src/member_lease.rs
+++ b/crates/leases/src/member_lease.rs
@@ -1,38 +1,40 @@
-//! Member leases: until when a member may count on being in the list of every leader.
+//! Member leases: while a member holds one, every leader's member list includes it.
 //!
-//! A new leader does not know what the one before it granted, so it treats all members of the last list as if they held
-//! a lease from now on, except for the previous leader, whose member lease is its leader's lease.
+//! A new leader does not know which leases its predecessor granted, so it treats all members of the last list
+//! as if they had just been granted one. The exception is the previous leader, whose member lease is its
+//! leader's lease.
 
 use crate::{Ballot, LeaseManager, Members, Message, Micros, ProcessId};
 use std::collections::BTreeMap;
 
-/// Requests of a member in one heartbeat interval: at 30% loss one lease in 10^8 passes without one that arrives.
+/// Requests of a member per heartbeat interval: at 30% message loss, the probability that no request arrives
+/// during a lease is 10^-8.
 const REQUESTS_PER_HEARTBEAT: Micros = 2;
 
-/// A member's lease on its place in the member list, as the leader counts it.
+/// A member lease, as the leader counts it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct MemberLease {
     member: ProcessId,
     expires_at: Micros,
 }
 
-/// Member leases that the leader has granted, and those that were not renewed.
+/// Member leases that the leader has granted, and members whose leases have expired.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct MemberLeases {
     /// By the member's ordinal.
     leases: BTreeMap<u16, MemberLease>,
-    /// Members that did not renew in time. They are left out of the member list until they ask again, even if membership
-    /// believes them alive.
+    /// Members that did not renew in time. They are excluded from the member list until they request a lease
+    /// again, even if membership reports them as alive.
     expired: Members,
 }
 
 impl MemberLeases {
-    /// When the first lease is over.
+    /// When the next lease expires.
     pub(crate) fn next_expiry(&self) -> Option<Micros> {
         self.leases.values().map(|lease| lease.expires_at).min()
     }
 
-    /// A member leaves and gives its lease back.
+    /// Removes the lease of a member that gives it back.
     pub(crate) fn release(&mut self, member: ProcessId) {
         if self.leases.get(&member.ordinal).is_some_and(|lease| lease.member == member) {
             self.leases.remove(&member.ordinal);
@@ -43,19 +45,19 @@
         self.leases.insert(member.ordinal, MemberLease { member, expires_at });
     }
 
-    /// Grants a lease to a member whose ordinal has none.
-    fn grant_first(&mut self, member: ProcessId, expires_at: Micros) {
+    /// Grants a lease to a member, unless its ordinal already has one.
+    fn grant_if_absent(&mut self, member: ProcessId, expires_at: Micros) {
         self.leases.entry(member.ordinal).or_insert(MemberLease { member, expires_at });
     }
 
-    /// Ends the leases that were not renewed in time.
+    /// Removes the leases that were not renewed in time, and marks their members as expired.
     fn expire(&mut self, now: Micros) {
         let expired = self.leases.values().filter(|lease| now >= lease.expires_at);
         self.expired.extend(expired.map(|lease| lease.member));
         self.leases.retain(|_, lease| now < lease.expires_at);
     }
 
-    /// Of these live processes all whose lease has not expired, and all that hold a lease.
+    /// The processes of `alive` whose lease has not expired, and all processes that hold a lease.
     fn listed_members(&self, alive: &Members) -> Members {
         let mut members = alive.clone();
         members.retain(|process| !self.expired.contains(process));
@@ -69,18 +71,20 @@
         self.settings.member_lease_duration > 0
     }
 
-    /// When a member lease that is granted now is over, by the leader's clock.
+    /// When a member lease that is granted at `now` expires, by the leader's clock.
     fn member_lease_end(&self, now: Micros) -> Micros {
         now + self.settings.grantor_duration(self.settings.member_lease_duration)
     }
 
-    /// As a new leader: assumes that all members of the last list hold a lease.
+    /// As a new leader: assumes that all members of the last list, except the previous leader, have just been
+    /// granted a lease.
     pub(crate) fn inherit_member_leases(&mut self, now: Micros, ballot: Ballot) {
         self.leadership.member_leases = MemberLeases::default();
         if !self.member_leases_enabled() {
             return;
         }
-        // A leader between the last known one and this process would have had a ballot between theirs.
+        // If there was another leader between the last known one and this process, its ballot lies between
+        // theirs. So the last known leader is the direct predecessor only if no counter lies between.
         let directly_before =
             self.known_leader.filter(|leader| leader.ballot.counter.checked_add(1) == Some(ballot.counter));
         let previous_leader = directly_before.map(|leader| leader.process);
@@ -127,7 +131,8 @@
         self.member_lease_expires_at = self.member_lease_expires_at.max(expires_at);
     }
 
-    /// Asks the leader for a lease, if that is due. A process that is not in the list asks too: so it comes back.
+    /// Requests a member lease from the leader, if that is due. A process that is not in the list requests
+    /// one too, so that the leader adds it again.
     pub(crate) fn request_member_lease(&mut self, now: Micros) {
         let Some(leader) = self.known_leader.filter(|leader| leader.process != self.me) else { return };
         let interval = self.settings.heartbeat_interval / REQUESTS_PER_HEARTBEAT;
@@ -138,8 +143,8 @@
         self.send(leader.process, Message::MemberLeaseRequest { from: self.me, requested_at: now });
     }
 
-    /// As the leader: who is to be in the list. All live processes except those whose lease expired, and all that hold a
-    /// lease.
+    /// As the leader: the members of the next list. These are all live processes whose lease has not expired,
+    /// and all processes that hold a lease.
     pub(crate) fn target_members(&mut self, now: Micros) -> Members {
         let expires_at = self.member_lease_end(now);
         let enabled = self.member_leases_enabled();
@@ -147,9 +152,9 @@
         member_leases.expire(now);
         let members = member_leases.listed_members(&self.alive_members);
         if enabled {
-            // A new member has as long to ask as one that has asked.
+            // A new member has the length of one lease to send its first request.
             let others = members.iter().filter(|member| member.ordinal != self.me.ordinal);
-            others.for_each(|member| member_leases.grant_first(member, expires_at));
+            others.for_each(|member| member_leases.grant_if_absent(member, expires_at));
         }
         members
     }
--- a/crates/leases/src/member_list.rs
+++ b/crates/leases/src/member_list.rs
@@ -1,47 +1,47 @@
-//! The list of members that the leader sends to all, in parts, under a term.
+//! The list of members. The leader broadcasts it in parts, under a term.
 
 use crate::leader::LeaderLease;
 use crate::message::MAX_MEMBERS_PER_PART;
 use crate::{LeaseManager, Members, Message, Micros, ProcessId, Term};
 use std::collections::BTreeMap;
 
-/// A changed list is sent with so many heartbeats in a row, since a part may be lost.
+/// A changed list is sent with this many consecutive heartbeats, since a part may be lost.
 const REPEATS_OF_CHANGED_LIST: u8 = 4;
-/// After that it is sent once in so many heartbeats.
+/// An unchanged list is sent with one in this many heartbeats.
 const HEARTBEATS_PER_UNCHANGED_LIST: u64 = 10;
 
-/// The members of a cluster as one leader has listed them.
+/// The members of the cluster according to a leader.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct MemberList {
-    /// Under which the leader made the list: a later list has a higher term.
+    /// Term under which the leader made the list. A later list has a higher term.
     pub term: Term,
-    /// The members.
+    /// Empty before the first list has been received.
     pub members: Members,
 }
 
-/// Parts of a list that has not arrived completely.
+/// Received parts of a list that is not complete yet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct PartialMemberList {
     term: Term,
     parts: BTreeMap<u8, Vec<ProcessId>>,
 }
 
-/// When the leader sends its list again.
+/// When the leader next sends its list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct MemberListBroadcast {
     next_at: Micros,
-    /// How many more heartbeats send the list, since parts may be lost.
+    /// Number of consecutive heartbeats that still send the list.
     repeats: u8,
 }
 
 impl MemberListBroadcast {
-    /// A new leader sends its list at once, and again with the next heartbeats.
+    /// For a new leader: sends the list at once, and again with the next heartbeats.
     pub(crate) fn restart(&mut self, now: Micros) {
         self.next_at = now;
         self.repeats = REPEATS_OF_CHANGED_LIST;
     }
 
-    /// The list is sent now: schedules the next time.
+    /// Schedules the next broadcast after one at `now`.
     fn reschedule(&mut self, now: Micros, changed: bool, heartbeat_interval: Micros) {
         self.repeats = if changed { REPEATS_OF_CHANGED_LIST } else { self.repeats.saturating_sub(1) };
         let heartbeats = if self.repeats > 0 { 1 } else { HEARTBEATS_PER_UNCHANGED_LIST };
@@ -50,7 +50,7 @@
 }
 
 impl LeaseManager {
-    /// As the leader: sends the list if it has changed or is due again.
+    /// As the leader: updates the list, and sends it if it has changed or is due.
     pub(crate) fn update_member_list(&mut self, now: Micros, lease: LeaderLease) {
         let members = self.target_members(now);
         let changed = members != self.member_list.members;
--- a/crates/leases/src/members.rs
+++ b/crates/leases/src/members.rs
@@ -1,12 +1,13 @@
-//! Processes of a cluster, of which one ordinal has one at most.
+//! A set of processes with at most one process for each ordinal.
 
 use crate::ProcessId;
 use std::collections::BTreeMap;
 
-/// A set of processes in the order of their ordinals. Of each ordinal it has one process: the one inserted last.
+/// A set of processes, ordered by ordinal. It contains at most one process of each ordinal, the one inserted
+/// last.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Members {
-    /// By ordinal.
+    /// Incarnation of each process by its ordinal.
     incarnations: BTreeMap<u16, u64>,
 }
 
@@ -21,39 +22,39 @@
         self.incarnations.is_empty()
     }
 
-    /// Whether this very process is in the set: another incarnation of its ordinal is not the same.
+    /// Whether the set contains this process. Another incarnation of the same ordinal does not count.
     pub fn contains(&self, process: ProcessId) -> bool {
         self.incarnations.get(&process.ordinal) == Some(&process.incarnation)
     }
 
-    /// The process of an ordinal.
+    /// The process with this ordinal, whichever its incarnation.
     pub fn get(&self, ordinal: u16) -> Option<ProcessId> {
         self.incarnations.get(&ordinal).map(|&incarnation| ProcessId { ordinal, incarnation })
     }
 
-    /// The processes, in the order of their ordinals.
+    /// Iterates over the processes in ascending order of their ordinals.
     pub fn iter(&self) -> impl Iterator<Item = ProcessId> {
         self.incarnations.iter().map(|(&ordinal, &incarnation)| ProcessId { ordinal, incarnation })
     }
 
-    /// The ordinals, in their order.
+    /// Iterates over the ordinals in ascending order.
     pub fn ordinals(&self) -> impl Iterator<Item = u16> {
         self.incarnations.keys().copied()
     }
 
-    /// Inserts a process in place of any other of its ordinal.
+    /// Inserts a process, and replaces any other process of the same ordinal.
     pub fn insert(&mut self, process: ProcessId) {
         self.incarnations.insert(process.ordinal, process.incarnation);
     }
 
-    /// Removes this very process, if it is in the set.
+    /// Removes this process. Has no effect if the set contains another incarnation of the same ordinal.
     pub fn remove(&mut self, process: ProcessId) {
         if self.contains(process) {
             self.incarnations.remove(&process.ordinal);
         }
     }
 
-    /// Removes the processes for which `keep` is false.
+    /// Removes all processes for which `keep` returns false.
     pub fn retain(&mut self, mut keep: impl FnMut(ProcessId) -> bool) {
         self.incarnations.retain(|&ordinal, &mut incarnation| keep(ProcessId { ordinal, incarnation }));
     }
--- a/crates/leases/src/message.rs
+++ b/crates/leases/src/message.rs
@@ -1,44 +1,47 @@
-//! Messages between the processes of a cluster, and their encoding: `postcard`, at most [`MAX_MESSAGE_LENGTH`] bytes, so
-//! that a datagram of 256 bytes has room for one more that tells its kind.
+//! Messages between the processes of a cluster, and their `postcard` encoding. An encoded message has at most
+//! [`MAX_MESSAGE_LENGTH`] bytes, so that a datagram of 256 bytes has room for one byte that gives its kind.
 //!
-//! `postcard` writes variants and fields by their position: their order is part of the wire format.
+//! `postcard` encodes variants and fields by their position: their order is part of the wire format.
 
 use crate::{Ballot, Epoch, Micros, ProcessId, Role, Term, View};
 use serde::{Deserialize, Serialize};
 
-/// Upper limit of an encoded message in bytes.
+/// Maximum length of an encoded message in bytes.
 pub const MAX_MESSAGE_LENGTH: usize = 255;
-/// Upper limit of a view's voters.
+/// Maximum number of voters in a view.
 pub(crate) const MAX_VOTERS: usize = 5;
-/// Upper limit of the members in one part of a member list: eleven bytes each at most.
+/// Maximum number of members in one part of a member list. Each takes at most 11 bytes.
 pub(crate) const MAX_MEMBERS_PER_PART: usize = 18;
-/// Upper limit of the role grants in one message: some thirty bytes each at most.
+/// Maximum number of role grants in one message. Each takes at most about 30 bytes.
 pub(crate) const MAX_ROLE_GRANTS: usize = 4;
 
-/// A message between two processes of a cluster. The table on the crate's page says what happens to each if it is lost,
-/// repeated or late.
+/// A message between two processes of a cluster. The table in the crate documentation says what happens if a
+/// message is lost, repeated or late.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 #[allow(missing_docs)]
 pub enum Message {
-    /// A process without a view looks for one, and tells the latest epoch that it knows of.
+    /// A process without a view asks for one, and reports the latest epoch that it knows of.
     JoinRequest { from: ProcessId, latest_epoch: Epoch },
-    /// Paxos phase 1: a candidate asks a voter whether the leader's lease is free, and not to accept lower ballots.
+    /// Paxos phase 1: a candidate asks a voter to promise to reject lower ballots. Succeeds only while the
+    /// leader's lease is free.
     Prepare { from: ProcessId, epoch: Epoch, ballot: Ballot },
-    /// The lease is free, and the voter promises. With the next view that it has accepted, if any.
+    /// Positive answer to `Prepare`, with the next view that the voter has accepted, if any.
     Promise { from: ProcessId, epoch: Epoch, ballot: Ballot, accepted: Option<AcceptedView> },
-    /// The lease is taken for so long, or a later ballot has been promised.
+    /// Negative answer to `Prepare`, `LeaseRequest` or `Accept`: another process holds the lease for
+    /// `lease_remaining`, or the voter has promised the later ballot `promised`.
     Reject { from: ProcessId, epoch: Epoch, promised: Ballot, lease_remaining: Micros },
-    /// A candidate, or the leader, asks for the leader's lease from now on.
+    /// A candidate or the leader asks for the leader's lease, starting at `requested_at` by the sender's
+    /// clock.
     LeaseRequest { from: ProcessId, epoch: Epoch, ballot: Ballot, requested_at: Micros },
-    /// The voter has granted it.
+    /// The voter has granted the leader's lease. `requested_at` is copied from the request.
     LeaseGrant { from: ProcessId, epoch: Epoch, ballot: Ballot, requested_at: Micros },
     /// Paxos phase 2: the leader proposes the next view.
     Accept { from: ProcessId, epoch: Epoch, ballot: Ballot, next_view: View },
-    /// The voter has accepted it.
+    /// The voter has accepted the proposed view.
     Accepted { from: ProcessId, epoch: Epoch, ballot: Ballot },
     /// The leader gives its lease back.
     LeaseRelease { from: ProcessId, epoch: Epoch, ballot: Ballot },
-    /// The view, its leader with its ballot, and the holders of roles.
+    /// The sender's view, the view's leader and its ballot, and, if sent by the leader, the holders of roles.
     ViewUpdate {
         from: ProcessId,
         view: View,
@@ -46,19 +49,19 @@
         ballot: Ballot,
         role_grants: Vec<RoleGrant>,
     },
-    /// A part of the leader's member list.
+    /// Part number `part`, counted from 0, of a member list that the leader sends in `parts` parts.
     MemberListPart { from: ProcessId, term: Term, part: u8, parts: u8, members: Vec<ProcessId> },
-    /// A process asks for a role lease, or to renew it.
+    /// A process asks the leader for a role lease, or for its renewal.
     RoleLeaseRequest { from: ProcessId, role: Role, requested_at: Micros },
-    /// It holds the lease for so long from its request.
+    /// The leader grants a role lease for `duration`, counted from `requested_at`.
     RoleLeaseGrant { from: ProcessId, role: Role, term: Term, requested_at: Micros, duration: Micros },
-    /// The holder gives the lease back.
+    /// The holder gives a role lease back.
     RoleLeaseRelease { from: ProcessId, role: Role, term: Term },
-    /// A process asks not to be left out of the member list for a while.
+    /// A process asks the leader for a member lease, or for its renewal.
     MemberLeaseRequest { from: ProcessId, requested_at: Micros },
-    /// It will not be, for so long from its request.
+    /// The leader keeps the receiver in the member list for `duration`, counted from `requested_at`.
     MemberLeaseGrant { from: ProcessId, requested_at: Micros, duration: Micros },
-    /// It leaves, and may be left out of the member list at once.
+    /// The sender shuts down and may be removed from the member list at once.
     MemberLeaseRelease { from: ProcessId },
 }
 
@@ -67,47 +70,48 @@
 pub struct AcceptedView {
     /// Ballot of the proposal.
     pub ballot: Ballot,
-    /// The view.
+    /// Never the bootstrap view.
     pub view: View,
 }
 
 /// A role lease that the leader has granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct RoleGrant {
-    /// The role.
+    /// Role that is held.
     pub role: Role,
     /// Term of the lease.
     pub term: Term,
-    /// Its holder.
+    /// Process that holds the lease.
     pub holder: ProcessId,
 }
 
-/// Why bytes are not a message.
+/// Why bytes could not be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// No message is so long.
-    #[error("{0} bytes are more than {MAX_MESSAGE_LENGTH}")]
+    /// The input is longer than [`MAX_MESSAGE_LENGTH`].
+    #[error("message too long: {0} bytes, limit is {MAX_MESSAGE_LENGTH}")]
     TooLong(usize),
-    /// The bytes do not encode a message.
-    #[error("the bytes encode no message")]
+    /// The bytes are not a valid `postcard` encoding of the expected type.
+    #[error("invalid message encoding")]
     Encoding(#[from] postcard::Error),
-    /// Bytes follow the message.
-    #[error("{0} bytes follow the message")]
+    /// The input has more bytes than the message.
+    #[error("{0} trailing bytes after the message")]
     TrailingBytes(usize),
-    /// A view's voters are too many, not in order, or missing.
-    #[error("the view of epoch {0} has impossible voters")]
+    /// A view has too many voters, unordered voters or no voters, or is a bootstrap view with voters or where
+    /// none is allowed.
+    #[error("view of epoch {0} has an invalid list of voters")]
     InvalidView(Epoch),
-    /// More role grants than a message may have.
-    #[error("{0} role grants are more than {MAX_ROLE_GRANTS}")]
+    /// A view update has more than the maximum number of role grants.
+    #[error("too many role grants: {0}, limit is {MAX_ROLE_GRANTS}")]
     TooManyRoleGrants(usize),
-    /// A part of a member list that is too large, or whose number is not below that of all parts.
-    #[error("part {part} of {parts} with {members} members is no part of a member list")]
+    /// A part of a member list has too many members, or its number is not lower than the number of parts.
+    #[error("invalid member list part: number {part} of {parts}, {members} members")]
     #[allow(missing_docs)]
     InvalidMemberListPart { part: u8, parts: u8, members: usize },
 }
 
 impl Message {
-    /// The sender.
+    /// The sender, as claimed by the message itself.
     pub fn from(&self) -> ProcessId {
         match *self {
             Message::JoinRequest { from, .. }
@@ -130,12 +134,12 @@
         }
     }
 
-    /// The message's bytes. Whoever makes a message keeps its lists within their limits.
+    /// Encodes the message. The caller must keep the lists in it within their limits.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// Decodes bytes that are one message and nothing else, and checks the limits that receivers rely on.
+    /// Decodes exactly one message, and checks the limits that the receiver relies on.
     pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         if bytes.len() > MAX_MESSAGE_LENGTH {
             return Err(DecodeError::TooLong(bytes.len()));
@@ -170,11 +174,11 @@
     }
 }
 
-/// Voters are ordered and no more than the limit; only the bootstrap view has none.
+/// Checks that the voters are in order and within the limit, and that only the bootstrap view has none.
 fn check_view(view: &View) -> Result<(), DecodeError> {
     let ordered = view.voters.windows(2).all(|pair| pair[0].ordinal < pair[1].ordinal);
-    let named = view.voters.is_empty() == view.is_bootstrap();
-    if ordered && named && view.voters.len() <= MAX_VOTERS {
+    let none_only_in_bootstrap = view.voters.is_empty() == view.is_bootstrap();
+    if ordered && none_only_in_bootstrap && view.voters.len() <= MAX_VOTERS {
         Ok(())
     } else {
         Err(DecodeError::InvalidView(view.epoch))
--- a/crates/leases/src/role_leases.rs
+++ b/crates/leases/src/role_leases.rs
@@ -1,14 +1,16 @@
-//! Role leases: members request a role in an order that all agree on, the leader grants it to one of them.
+//! Role leases: members request a free role in an order that is the same for all of them, and the leader
+//! grants it to one of them.
 
 use crate::{
     Command, Event, LeaseManager, Message, Micros, ProcessId, Role, RoleGrant, RoleHolder, RoleStatus, Term,
 };
 use std::collections::BTreeMap;
 
-/// Requests for a role that nobody holds in one heartbeat interval, and turns of members that wait for one.
+/// A free role is requested this many times per heartbeat interval. The members' first requests are staggered
+/// in steps of the interval divided by this number.
 const REQUESTS_PER_HEARTBEAT: Micros = 3;
 
-/// A role lease of this process.
+/// A role lease that this process holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct HeldLease {
     term: Term,
@@ -21,37 +23,37 @@
 struct GrantedLease {
     holder: ProcessId,
     term: Term,
-    /// As the grantor counts it: until then the role is granted to no other process.
+    /// As the grantor counts it. The role is granted to no other process before.
     expires_at: Micros,
 }
 
-/// The leader's answer to a request for a role lease.
+/// Content of [`Message::RoleLeaseGrant`], the leader's answer to a request for a role lease.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RoleLeaseGrant {
     pub(crate) role: Role,
     pub(crate) term: Term,
-    /// When it was requested, by the holder's clock.
+    /// Time of the request, by the holder's clock.
     pub(crate) requested_at: Micros,
-    /// From the request on.
+    /// Counted from `requested_at`.
     pub(crate) duration: Micros,
 }
 
-/// The holder of a role by the leader's last update.
+/// The holder of a role according to the leader's last update.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct ObservedHolder {
     holder: RoleHolder,
     observed_at: Micros,
 }
 
-/// Role leases of this process, and what it knows of those of others.
+/// Role leases that this process holds, has observed, or has granted as the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RoleLeases {
     role_count: Role,
     held: BTreeMap<Role, HeldLease>,
     observed: BTreeMap<Role, ObservedHolder>,
-    /// As the leader.
+    /// Leases granted as the leader. They may have expired.
     granted: BTreeMap<Role, GrantedLease>,
-    /// Grants of requests before this are ignored.
+    /// Start of the process. Grants of earlier requests are ignored.
     started_at: Micros,
     next_request_at: Micros,
     /// When each role was last requested.
@@ -71,7 +73,7 @@
         }
     }
 
-    /// The term under which this process holds a role at this moment.
+    /// The term under which this process holds a role at `now`.
     pub(crate) fn held_term(&self, now: Micros, role: Role) -> Option<Term> {
         self.held.get(&role).filter(|lease| now < lease.expires_at).map(|lease| lease.term)
     }
@@ -80,32 +82,32 @@
         self.next_request_at
     }
 
-    /// Forgets what was granted as the leader.
+    /// Removes all leases granted as the leader.
     pub(crate) fn clear_grants(&mut self) {
         self.granted.clear();
     }
 
-    /// Ends all leases of this process, and returns them.
+    /// Drops all leases that this process holds, and returns their roles and terms.
     pub(crate) fn release_all(&mut self) -> Vec<(Role, Term)> {
         std::mem::take(&mut self.held).into_iter().map(|(role, lease)| (role, lease.term)).collect()
     }
 
-    /// Leases that this process, as the leader, has granted and that last.
+    /// Leases that this process has granted as the leader and that have not expired.
     pub(crate) fn grants(&self, now: Micros) -> impl Iterator<Item = RoleGrant> {
         let live = self.granted.iter().filter(move |(_, lease)| now < lease.expires_at);
         live.map(|(&role, lease)| RoleGrant { role, term: lease.term, holder: lease.holder })
     }
 
-    /// Takes note of the holders by an update of the leader's.
+    /// Records the holders announced by an update of the leader.
     pub(crate) fn observe(&mut self, now: Micros, grants: Vec<RoleGrant>) {
         for RoleGrant { role, term, holder } in grants {
             if role >= self.role_count {
                 continue;
             }
-            let seen = ObservedHolder { holder: RoleHolder { term, holder }, observed_at: now };
-            let observed = self.observed.entry(role).or_insert(seen);
+            let update = ObservedHolder { holder: RoleHolder { term, holder }, observed_at: now };
+            let observed = self.observed.entry(role).or_insert(update);
             if term >= observed.holder.term {
-                *observed = seen;
+                *observed = update;
             }
         }
     }
@@ -121,8 +123,9 @@
     }
 }
 
-/// A process's rank for a role: the smallest comes first (rendezvous hashing; D. Thaler, C. Ravishankar, 1998). Mixed as
-/// in SplitMix64, from numbers only, so that equal member lists give equal orders everywhere.
+/// Rank of a process for a role; the lowest rank requests the role first (rendezvous hashing; D. Thaler, C.
+/// Ravishankar, 1998). The hash is the mixing function of SplitMix64 over plain integers, so equal member
+/// lists give the same order in all processes.
 fn rendezvous_rank(role: Role, ordinal: u16) -> u64 {
     let mut x = (u64::from(role) << 32 | u64::from(ordinal)).wrapping_add(0x9e37_79b9_7f4a_7c15);
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -131,7 +134,7 @@
 }
 
 impl LeaseManager {
-    /// Ends role leases that have expired.
+    /// Drops role leases of this process that have expired, and reports them to the caller.
     pub(crate) fn expire_role_leases(&mut self, now: Micros) {
         let held = self.role_leases.held.iter();
         let expired: Vec<Role> =
@@ -143,14 +146,15 @@
         }
     }
 
-    /// Members of the list that may request a role before this process.
+    /// Number of members in the list that may request a role before this process.
     fn members_before(&self, role: Role) -> u64 {
         let own = rendezvous_rank(role, self.me.ordinal);
         let members = self.member_list.members.ordinals();
         members.filter(|&ordinal| rendezvous_rank(role, ordinal) < own).count() as u64
     }
 
-    /// Requests roles that this process holds, to renew them, and those that nobody holds if it is its turn.
+    /// Requests the renewal of roles that this process holds, and free roles once this process's delay is
+    /// over.
     pub(crate) fn request_role_leases(&mut self, now: Micros) {
         let Some(leader) = self.known_leader.map(|leader| leader.process) else { return };
         if now < self.role_leases.next_request_at && leader != self.me || self.leaving {
@@ -177,15 +181,17 @@
         let interval = self.settings.heartbeat_interval;
         let leases = &self.role_leases;
         let held = leases.held.contains_key(&role);
-        // Each member waits a little longer than the one before it, from when the last holder was known.
+        // Counted from the leader's last announcement of a holder, each member waits one step longer than the
+        // member ranked before it.
         let unclaimed_since =
             leases.observed.get(&role).map_or(self.started_at, |observed| observed.observed_at);
-        let turn = (1 + self.members_before(role)) * interval / REQUESTS_PER_HEARTBEAT;
-        let our_turn = now >= unclaimed_since + interval + turn;
-        // A held role is renewed each heartbeat, a free one requested more often: either message may be lost.
+        let stagger_delay = (1 + self.members_before(role)) * interval / REQUESTS_PER_HEARTBEAT;
+        let may_claim = now >= unclaimed_since + interval + stagger_delay;
+        // A held role is renewed each heartbeat. A free role is requested more often, since the request or
+        // its answer may be lost.
         let pause = if held { interval } else { interval / REQUESTS_PER_HEARTBEAT };
         let pause_over = leases.requested_at.get(&role).is_none_or(|&last| now >= last + pause);
-        (held || our_turn) && pause_over
+        (held || may_claim) && pause_over
     }
 
     pub(crate) fn handle_role_lease_request(
@@ -203,7 +209,7 @@
         self.grant_role_lease(now, from, role, requested_at);
     }
 
-    /// As the leader: grants a role lease if the role is free or held by who requests it.
+    /// As the leader: grants a role lease if the role is free or already held by `to`.
     fn grant_role_lease(&mut self, now: Micros, to: ProcessId, role: Role, requested_at: Micros) {
         let Some(leader_lease) = self.leadership.lease(now) else { return };
         let current = self.role_leases.granted.get(&role).copied();
@@ -212,7 +218,7 @@
             return;
         }
         let term = current.map_or_else(|| self.leadership.next_term(leader_lease), |lease| lease.term);
-        // No longer than the leader's own lease.
+        // A role lease must not outlast the leader's own lease.
         let duration = (leader_lease.expires_at - now).min(self.settings.lease_duration);
         let expires_at = now + self.settings.grantor_duration(duration);
         self.role_leases.granted.insert(role, GrantedLease { holder: to, term, expires_at });
@@ -263,13 +269,13 @@
         if granted.is_some_and(|lease| lease.holder == from && lease.term == term) {
             self.role_leases.granted.remove(&role);
             self.emit(Event::RoleLeaseReleased { role, holder: from });
-            // Others learn of it from the next heartbeat, which is due now.
+            // The other members learn of the release from the next heartbeat, which becomes due at once.
             self.role_leases.observed.remove(&role);
             self.candidate.schedule_campaign(now, 0);
         }
     }
 
-    /// The holder of a role by the leader's last update.
+    /// The last known holder of a role, from the leader's updates. Its lease may have expired.
     pub fn role_holder(&self, role: Role) -> Option<RoleHolder> {
         self.role_leases.observed.get(&role).map(|observed| observed.holder)
     }
--- a/crates/leases/src/status.rs
+++ b/crates/leases/src/status.rs
@@ -1,24 +1,24 @@
-//! A snapshot of one process's knowledge, for operators.
+//! Status snapshot of one process, for operators.
 
 use crate::{LeaseManager, MemberList, Micros, ProcessId, Role, Term, View};
 use std::collections::BTreeMap;
 
-/// What one process knows of the cluster.
+/// State of the cluster as one process knows it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// The view, if the cluster has one.
+    /// `None` if this process is in no view, because it has not joined one or has abandoned it.
     pub view: Option<ViewStatus>,
     /// The leader that sent the last view update.
     pub leader: Option<ProcessId>,
-    /// Time left of this process's own lease as the leader.
+    /// Time left of the leader's lease. `None` if this process is not the leader.
     pub leader_lease_remaining: Option<Micros>,
-    /// The member list.
+    /// The last member list received, or made by this process as the leader.
     pub member_list: MemberList,
-    /// Roles whose holder is known.
+    /// Roles whose last holder is known. Its lease may have expired.
     pub roles: BTreeMap<Role, RoleStatus>,
 }
 
-/// The view that a process is in.
+/// The view of a process, and how recent its information is.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ViewStatus {
     /// The view.
@@ -27,19 +27,19 @@
     pub age: Micros,
 }
 
-/// What is known of a role.
+/// Last known lease of a role.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RoleStatus {
     /// Term of the lease.
     pub term: Term,
     /// Its holder.
     pub holder: ProcessId,
-    /// Time left of the lease, if this process holds it.
+    /// Time left of the lease. `None` if this process does not hold it.
     pub own_lease_remaining: Option<Micros>,
 }
 
 impl LeaseManager {
-    /// A snapshot for operators.
+    /// Returns a status snapshot. Times are relative to `now`.
     pub fn status(&self, now: Micros) -> Status {
         Status {
             view: self.view().map(|view| ViewStatus {
--- a/crates/leases/src/view.rs
+++ b/crates/leases/src/view.rs
@@ -3,17 +3,17 @@
 use crate::ProcessId;
 use serde::{Deserialize, Serialize};
 
-/// A view's place in the order of all views. A cluster that bootstraps again starts a later era.
+/// Position of a view in the total order of views. Each bootstrap of the cluster starts a later era.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch {
-    /// Unix seconds when the cluster bootstrapped, or one more than the latest era known then.
+    /// Unix time of the bootstrap in seconds, but at least one more than the latest era known at that time.
     pub era: u32,
     /// Number of the view within its era, from 1.
     pub number: u32,
 }
 
 impl Epoch {
-    /// The epoch of the view that replaces the one of this epoch. `None`: there are no more numbers.
+    /// The epoch of the next view. `None` if the number would overflow.
     pub(crate) fn successor(self) -> Option<Epoch> {
         Some(Epoch { era: self.era, number: self.number.checked_add(1)? })
     }
@@ -28,20 +28,20 @@
 /// A Paxos proposal number. No two campaigns of one epoch use the same ballot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Higher than that of every ballot its proposer knew of.
+    /// Higher than the counter of every ballot that the proposer knew of.
     pub counter: u32,
     /// Ordinal of the proposer, which breaks ties.
     pub proposer: u16,
 }
 
-/// A fencing number: each lease that is granted to another holder has a higher one.
+/// Fencing number of a lease: each grant to a different holder has a higher term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term {
     /// Epoch of the view in which the lease was granted.
     pub epoch: Epoch,
     /// Ballot under which the leader that granted it was elected.
     pub ballot: Ballot,
-    /// Number of the grant, counted by the leader.
+    /// Counter of the leader: increases with each new role grant and each new member list.
     pub step: u32,
 }
 
@@ -52,13 +52,13 @@
     }
 }
 
-/// An epoch and its voters. The bootstrap view, of a cluster that has not started, has the default epoch and names no
-/// voters: every scheduler in the settings may vote in it.
+/// An epoch and its voters. The bootstrap view, of a cluster that has not bootstrapped yet, has the default
+/// epoch and an empty list of voters: every configured scheduler may vote in it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct View {
-    /// The view's place in the order of all views.
+    /// Unique to this view.
     pub epoch: Epoch,
-    /// Ordered by their ordinals.
+    /// In ascending order of their ordinals.
     pub voters: Vec<ProcessId>,
 }
 
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -1,26 +1,27 @@
-//! A voter of a view: an acceptor of Paxos for the next view, and the grantor of the leader's lease.
+//! A voter of a view: the Paxos acceptor for the next view, and a grantor of the leader's lease.
 
 use crate::{AcceptedView, Ballot, Epoch, Message, Micros, ProcessId, Settings, View};
 
 /// A voter's answer to a candidate or leader.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Vote {
-    /// To `Prepare`: the lease is free, and lower ballots are rejected from now on.
+    /// Answer to `Prepare`: the lease is free, and the voter will reject lower ballots.
     Promise {
         ballot: Ballot,
         /// The next view that the voter has accepted, if any.
         accepted: Option<AcceptedView>,
     },
-    /// To `LeaseRequest`: the lease is granted.
+    /// Answer to `LeaseRequest`: the lease is granted.
     LeaseGrant { ballot: Ballot, requested_at: Micros },
-    /// To `Accept`: the next view is accepted.
+    /// Answer to `Accept`: the next view is accepted.
     Accepted { ballot: Ballot },
-    /// To any of them: the lease is taken for so long, or a later ballot has been promised.
+    /// Answer to any of them: another process holds the lease for `lease_remaining`, or a later ballot has
+    /// been promised.
     Reject { promised: Ballot, lease_remaining: Micros },
 }
 
 impl Vote {
-    /// The vote as a message from a voter of the view of this epoch.
+    /// Converts the vote to a message from a voter of the view of `epoch`.
     pub(crate) fn into_message(self, from: ProcessId, epoch: Epoch) -> Message {
         match self {
             Vote::Promise { ballot, accepted } => Message::Promise { from, epoch, ballot, accepted },
@@ -35,21 +36,22 @@
     }
 }
 
-/// A voter's memory in one view: what it has promised, accepted and granted. It ends with the process and with the view.
+/// Promises, acceptances and grants of a voter in one view. Not persisted, and reset when another view is
+/// entered.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Voter {
-    /// Messages of lower ballots are rejected.
+    /// The highest ballot promised. Messages of lower ballots are rejected.
     promised: Ballot,
-    /// The next view that was accepted last.
+    /// The last proposal accepted for the next view.
     accepted: Option<AcceptedView>,
-    /// The leader's lease.
+    /// The last grant of the leader's lease, which may have expired.
     grant: Option<LeaseGrant>,
 }
 
-/// A lease granted to a leader, as its grantor knows it.
+/// A leader's lease, as its grantor counts it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct LeaseGrant {
-    /// `None`: a process that is not known may hold a lease.
+    /// `None`: an unknown process may hold the lease.
     holder: Option<ProcessId>,
     ballot: Ballot,
     /// By this voter's clock.
@@ -57,7 +59,7 @@
 }
 
 impl Voter {
-    /// Time until the lease is free for a candidate.
+    /// Time until the lease can be granted to `candidate`; 0 if it can be granted now.
     fn lease_remaining(&self, now: Micros, candidate: ProcessId) -> Micros {
         match &self.grant {
             Some(grant) if grant.holder != Some(candidate) => grant.expires_at.saturating_sub(now),
@@ -65,12 +67,13 @@
         }
     }
 
-    /// Refuses to grant a lease until then, except to `holder`, which may hold one from the view before.
+    /// Refuses to grant the lease before `expires_at`, except to `holder`, which may hold a lease of the
+    /// previous view.
     pub(crate) fn refuse_grants_until(&mut self, expires_at: Micros, holder: Option<ProcessId>) {
         self.grant = Some(LeaseGrant { holder, ballot: Ballot::default(), expires_at });
     }
 
-    /// The holder gives its lease back. Returns whether it was the holder.
+    /// Frees the lease if `from` holds it under this ballot. Returns whether it did.
     pub(crate) fn release_lease(&mut self, from: ProcessId, ballot: Ballot) -> bool {
         let held =
             (self.grant.as_ref()).is_some_and(|grant| grant.holder == Some(from) && grant.ballot == ballot);
@@ -80,7 +83,8 @@
         held
     }
 
-    /// Whether a message of this ballot must be rejected, whatever it asks for.
+    /// Whether any request under this ballot must be rejected: the ballot is lower than the promised one, or
+    /// is not the sender's own.
     fn must_reject(&self, from: ProcessId, ballot: Ballot) -> bool {
         ballot < self.promised || ballot.proposer != from.ordinal
     }
@@ -89,7 +93,7 @@
         Vote::Reject { promised: self.promised, lease_remaining }
     }
 
-    /// Answers a candidate that asks for a promise.
+    /// Answers `Prepare`.
     pub(crate) fn vote_on_prepare(&mut self, now: Micros, from: ProcessId, ballot: Ballot) -> Vote {
         let lease_remaining = self.lease_remaining(now, from);
         if self.must_reject(from, ballot) || lease_remaining > 0 {
@@ -99,7 +103,7 @@
         Vote::Promise { ballot, accepted: self.accepted.clone() }
     }
 
-    /// Answers a candidate or leader that asks for the lease.
+    /// Answers `LeaseRequest`.
     pub(crate) fn vote_on_lease(
         &mut self,
         now: Micros,
@@ -118,7 +122,7 @@
         Vote::LeaseGrant { ballot, requested_at }
     }
 
-    /// Answers a leader that proposes the next view.
+    /// Answers `Accept`.
     pub(crate) fn vote_on_view(&mut self, from: ProcessId, ballot: Ballot, view: View) -> Vote {
         if self.must_reject(from, ballot) {
             return self.reject(0);
