--- a/crates/leases/tests/model/cluster.rs
+++ b/crates/leases/tests/model/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster as a model: processes with leases, receivers of their actions, and the network between them.
+//! Model of a cluster: processes with leases, receivers of their actions, and the network between them.
 
 use crate::properties::properties;
 use brackenledge_leases::{
@@ -7,7 +7,7 @@
 use stateright::{Model, Property};
 use std::collections::BTreeMap;
 
-/// Also the step of time.
+/// Also the length of one clock tick of the model.
 const HEARTBEAT_INTERVAL: u64 = 1_000;
 pub const ROLE: u8 = 0;
 
@@ -20,20 +20,20 @@
     pub delays: u8,
     pub crashes: u8,
     pub pauses: u8,
-    /// Actions of holders that are possible yet.
+    /// Number of actions that holders may still send.
     pub actions_left: u8,
-    /// One link that is cut both ways for the whole run.
+    /// Two nodes that cannot reach each other during the whole run.
     pub cut: Option<(u16, u16)>,
-    pub sabotage: Option<Sabotage>,
+    pub seeded_bug: Option<SeededBug>,
 }
 
-/// Faults of a program that the model must find.
+/// Bugs that the model checker must detect when they are added to the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Sabotage {
-    /// A process that has lost its memory votes as the same process.
+pub enum SeededBug {
+    /// A process that has restarted without its state votes under its previous incarnation.
     VotesAfterRestart,
-    /// Voters grant the lease again before it is over.
-    LeaseNotWaitedOut,
+    /// Voters count a lease as shorter than its holder does, and grant it again before it has expired.
+    LeaseGrantedTooEarly,
     /// Receivers do not check terms.
     NoFencing,
 }
@@ -45,10 +45,11 @@
     pub paused: Vec<bool>,
     /// Messages in flight from one node to another, in order.
     pub in_flight: BTreeMap<(u16, u16), Vec<Message>>,
-    /// Which nodes have checked their lease, and not yet acted.
+    /// Term of each node that has checked its lease and not acted yet.
     pub checked: Vec<Option<Term>>,
-    /// Receivers, one for each node, and the actions that they accepted.
+    /// Guard of each node as a receiver of actions.
     pub guards: Vec<FencingGuard>,
+    /// Actions that each node has accepted, in order.
     pub accepted: Vec<Vec<(Term, ProcessId)>>,
     pub duplicates: u8,
     pub delays: u8,
@@ -61,7 +62,8 @@
 pub enum Action {
     Deliver(u16, u16),
     Duplicate(u16, u16),
-    /// Time goes on. What is in flight is lost, except between these two nodes.
+    /// Time advances by one heartbeat interval. All messages in flight are lost, except those on the given
+    /// link.
     Tick(Option<(u16, u16)>),
     Crash(u16),
     Pause(u16),
@@ -72,13 +74,13 @@
 
 impl Cluster {
     fn settings(&self, node: u16) -> Settings {
-        let short = self.sabotage == Some(Sabotage::LeaseNotWaitedOut) && node != 0;
+        let short = self.seeded_bug == Some(SeededBug::LeaseGrantedTooEarly) && node != 0;
         Settings {
             cluster_size: self.nodes,
             voters: usize::from(self.voters),
             lease_duration: if short { HEARTBEAT_INTERVAL } else { 3 * HEARTBEAT_INTERVAL },
             heartbeat_interval: HEARTBEAT_INTERVAL,
-            // All clocks agree here; the drift is a matter of arithmetic, tested by itself.
+            // The model has one clock for all nodes. Clock drift is tested in `tests/cluster.rs`.
             clock_drift_divisor: u64::MAX,
             bootstrap_timeout: 100 * HEARTBEAT_INTERVAL,
             view_abandon_timeout: 100 * HEARTBEAT_INTERVAL,
@@ -95,7 +97,7 @@
         View { epoch: Epoch { era: 1, number: 1 }, voters: (0..self.voters).map(Cluster::process).collect() }
     }
 
-    /// Puts the messages of a node in flight.
+    /// Adds the messages that a node sends to those in flight.
     fn execute_commands(&self, state: &mut State, node: u16) {
         while let Some(command) = state.nodes[usize::from(node)].poll_command() {
             let (receivers, message) = match command {
@@ -105,14 +107,14 @@
                 }
                 _ => continue,
             };
-            // Every message must survive its encoding.
+            // Encoding and decoding must not change a message.
             assert_eq!(Message::decode(&message.encode()).as_ref(), Ok(&message));
             for to in receivers {
                 if self.cut.is_some_and(|(a, b)| (a, b) == (node, to) || (b, a) == (node, to)) {
                     continue;
                 }
                 let queue = state.in_flight.entry((node, to)).or_default();
-                // Member lists are sent again and again, and mean nothing here.
+                // Member lists are left out: they are sent often and have no effect in this model.
                 if !matches!(message, Message::MemberListPart { .. }) && !queue.contains(&message) {
                     queue.push(message.clone());
                 }
@@ -121,7 +123,7 @@
     }
 
     fn deliver(&self, state: &mut State, from: u16, to: u16, message: Message) {
-        // Receivers know terms from the leader's updates.
+        // Receivers learn terms from the leader's view updates.
         if let Message::ViewUpdate { role_grants, .. } = &message {
             for &RoleGrant { role, term, holder } in role_grants {
                 state.guards[usize::from(to)].observe(role, term, holder);
@@ -139,9 +141,10 @@
     }
 
     fn tick(&self, state: &mut State, delayed: Option<(u16, u16)>) {
-        let late = delayed.and_then(|link| state.in_flight.remove(&link).map(|messages| (link, messages)));
-        state.delays -= u8::from(late.is_some());
-        state.in_flight = late.into_iter().collect();
+        let retained =
+            delayed.and_then(|link| state.in_flight.remove(&link).map(|messages| (link, messages)));
+        state.delays -= u8::from(retained.is_some());
+        state.in_flight = retained.into_iter().collect();
         state.now += HEARTBEAT_INTERVAL;
         for node in 0..self.nodes {
             if !state.paused[usize::from(node)] {
@@ -154,7 +157,7 @@
         state.crashes -= 1;
         let at = usize::from(node);
         let settings = self.settings(node);
-        let mut restarted = if self.sabotage == Some(Sabotage::VotesAfterRestart) {
+        let mut restarted = if self.seeded_bug == Some(SeededBug::VotesAfterRestart) {
             LeaseManager::in_view(state.now, Cluster::process(node), settings, self.view())
         } else {
             LeaseManager::new(state.now, ProcessId { ordinal: node, incarnation: 2 }, 2, settings)
@@ -166,11 +169,11 @@
     }
 
     fn act(&self, state: &mut State, node: u16, to: u16, term: Term) {
-        // A process that crashed has checked nothing since.
+        // A node that has crashed has checked no lease since, so the holder is the first incarnation.
         let holder = Cluster::process(node);
         let guard = &mut state.guards[usize::from(to)];
-        let accepted = match self.sabotage {
-            Some(Sabotage::NoFencing) => true,
+        let accepted = match self.seeded_bug {
+            Some(SeededBug::NoFencing) => true,
             _ => guard.accept(ROLE, term, holder).is_ok(),
         };
         if accepted {
@@ -271,7 +274,8 @@
             }
             Action::Resume(node) => {
                 state.paused[usize::from(node)] = false;
-                // It may act on what it checked before it looks at the clock again.
+                // If it had checked its lease before the pause, it acts on that result before it handles the
+                // time-out.
                 if state.checked[usize::from(node)].is_none() {
                     self.handle_timeout(&mut state, node);
                 }
--- a/crates/leases/tests/model/main.rs
+++ b/crates/leases/tests/model/main.rs
@@ -1,6 +1,7 @@
-//! The crate's own state machines under every order of events within bounds: messages lost, repeated, late; a process
-//! that loses its memory, one that pauses between its check and its action. `MODEL_STATES` sets how many states are
-//! looked at (default: what CI has time for).
+//! Model checks of the crate's state machines under all orders of events within bounds: lost, repeated and
+//! late messages, processes that restart without their state, and processes that pause between the check of a
+//! lease and the action. The environment variable `MODEL_STATES` limits the number of states visited; the
+//! default fits into the time of a CI run.
 #![allow(missing_docs)]
 
 mod cluster;
@@ -9,13 +10,13 @@
 use brackenledge_test_support::model_check::{
     assert_no_violation, bounded_checker, first_violation, max_states, random_runs,
 };
-use cluster::{Cluster, Sabotage, State};
+use cluster::{Cluster, SeededBug, State};
 use properties::A_PROCESS_HOLDS_THE_ROLE;
 use stateright::Checker;
 
 const DEFAULT_MAX_STATES: usize = 30_000;
 
-const PLAIN: Cluster = Cluster {
+const BASE: Cluster = Cluster {
     nodes: 3,
     voters: 3,
     ticks: 7,
@@ -25,15 +26,16 @@
     pauses: 0,
     actions_left: 2,
     cut: None,
-    sabotage: None,
+    seeded_bug: None,
 };
 
-/// A state as the path to a violation prints it.
+/// Text for a state on the path to a violation.
 fn describe(state: &State) -> String {
-    format!("at {}, checked {:?}, accepted {:?}", state.now, state.checked, state.accepted)
+    format!("time {}, checked {:?}, accepted {:?}", state.now, state.checked, state.accepted)
 }
 
-/// Random runs to their ends from several seeds, then all states near the start, as many as asked for.
+/// Runs the model at random from several seeds, then depth first, each up to the limit on the number of
+/// states.
 fn check_model(name: &str, model: Cluster) {
     let max_states = max_states(DEFAULT_MAX_STATES);
     for seed in 0..2 {
@@ -53,41 +55,41 @@
 
 #[test]
 fn three_voters_under_loss_duplication_and_delay() {
-    check_model("plain", PLAIN);
+    check_model("base", BASE);
 }
 
 #[test]
-fn three_voters_one_of_which_loses_its_memory() {
-    check_model("crash", Cluster { crashes: 1, ..PLAIN });
+fn three_voters_one_of_which_restarts_without_its_state() {
+    check_model("crash", Cluster { crashes: 1, ..BASE });
 }
 
 #[test]
 fn three_voters_one_of_which_pauses_longer_than_its_lease() {
-    check_model("pause", Cluster { pauses: 1, ticks: 9, ..PLAIN });
+    check_model("pause", Cluster { pauses: 1, ticks: 9, ..BASE });
 }
 
 #[test]
 fn three_voters_two_of_which_are_cut_off_from_one_another() {
-    check_model("cut", Cluster { cut: Some((0, 1)), ..PLAIN });
+    check_model("cut", Cluster { cut: Some((0, 1)), ..BASE });
 }
 
 #[test]
 fn five_voters_with_a_crash_and_a_pause() {
-    check_model("five", Cluster { nodes: 5, voters: 5, crashes: 1, pauses: 1, ticks: 9, ..PLAIN });
+    check_model("five", Cluster { nodes: 5, voters: 5, crashes: 1, pauses: 1, ticks: 9, ..BASE });
 }
 
-/// A model that does not find these faults shows nothing.
+/// Guards against a model that is too weak: it must find a violation for each of these bugs.
 #[test]
-fn each_sabotage_is_caught() {
+fn each_seeded_bug_is_found() {
     let table = [
-        (Sabotage::VotesAfterRestart, Cluster { crashes: 2, ..PLAIN }),
-        (Sabotage::LeaseNotWaitedOut, PLAIN),
-        (Sabotage::NoFencing, Cluster { ticks: 14, actions_left: 3, duplicates: 0, delays: 0, ..PLAIN }),
+        (SeededBug::VotesAfterRestart, Cluster { crashes: 2, ..BASE }),
+        (SeededBug::LeaseGrantedTooEarly, BASE),
+        (SeededBug::NoFencing, Cluster { ticks: 14, actions_left: 3, duplicates: 0, delays: 0, ..BASE }),
     ];
-    for (sabotage, model) in table {
-        let model = Cluster { sabotage: Some(sabotage), ..model };
-        let caught = first_violation(&model, 1..=20, 40 * max_states(DEFAULT_MAX_STATES), describe);
-        println!("{sabotage:?}: caught by {caught:?}");
-        assert!(caught.is_some(), "{sabotage:?}");
+    for (seeded_bug, model) in table {
+        let model = Cluster { seeded_bug: Some(seeded_bug), ..model };
+        let violation = first_violation(&model, 1..=20, 40 * max_states(DEFAULT_MAX_STATES), describe);
+        println!("{seeded_bug:?}: found as a violation of {violation:?}");
+        assert!(violation.is_some(), "no violation found for {seeded_bug:?}");
     }
 }
--- a/crates/leases/tests/overflow.rs
+++ b/crates/leases/tests/overflow.rs
@@ -1,4 +1,5 @@
-//! Counters that come in messages may be the highest there are: no step may overflow on one.
+//! Counters received in messages may have the maximum value of their type: no computation with them may
+//! overflow.
 #![allow(missing_docs)]
 
 use brackenledge_leases::{Ballot, Epoch, LeaseManager, Message, Micros, ProcessId, Settings, View};
@@ -20,7 +21,8 @@
     View { epoch: Epoch { era: 1, number }, voters: (0..3).map(process).collect() }
 }
 
-/// Lets so much time pass, with the answers of the voters 1 and 2.
+/// Runs the process from `from` until `until`, with voters that answer every `Prepare` and `LeaseRequest`
+/// positively.
 fn run(manager: &mut LeaseManager, from: Micros, until: Micros) {
     let mut now = from;
     while now < until {
@@ -48,7 +50,7 @@
 }
 
 #[test]
-fn a_voter_that_promised_the_highest_ballot_is_survived() {
+fn a_rejection_with_the_maximum_ballot_counter_does_not_overflow() {
     let view = view(1);
     let mut manager = manager(&view, 3);
     manager.handle_timeout(START + HEARTBEAT);
@@ -56,13 +58,16 @@
     let reject = Message::Reject { from: process(1), epoch: view.epoch, promised, lease_remaining: 0 };
     manager.handle_message(START + HEARTBEAT, 1, reject);
     run(&mut manager, START + HEARTBEAT, START + 10 * HEARTBEAT);
-    assert!(!manager.is_leader(START + 10 * HEARTBEAT), "there is no higher ballot to be elected under");
+    assert!(
+        !manager.is_leader(START + 10 * HEARTBEAT),
+        "no higher ballot exists under which it could be elected"
+    );
 }
 
 #[test]
-fn a_leader_of_the_last_epoch_needs_no_further_one() {
+fn a_leader_stays_in_the_view_with_the_maximum_epoch_number() {
     let mut manager = manager(&view(u32::MAX), 4);
-    // Voter 2 is gone and process 3 is to replace it, under an epoch that does not exist.
+    // Voter 2 is gone. A view in which process 3 replaces it would need an epoch number that does not exist.
     manager.set_alive_members([process(0), process(1), process(3)]);
     run(&mut manager, START, START + 10 * HEARTBEAT);
     assert!(manager.is_leader(START + 10 * HEARTBEAT));
--- a/crates/leases/tests/virtual_cluster/mod.rs
+++ b/crates/leases/tests/virtual_cluster/mod.rs
@@ -1,5 +1,6 @@
-//! A cluster on a virtual clock, over a network that loses and delays messages. In each step it checks the invariants: no
-//! two holders of a role or under a term, and no member lease that a leader does not keep.
+//! A simulated cluster on a virtual clock, with a network that loses and delays messages. After each step it
+//! checks the invariants: a role has at most one holder, a term has at most one holder, and no leader
+//! violates a member lease.
 #![allow(dead_code)]
 
 use brackenledge_leases::{
@@ -11,7 +12,7 @@
 pub const MS: Micros = 1_000;
 pub const ROLES: u8 = 2;
 
-/// Numbers by SplitMix64: a test's own seed, the same everywhere.
+/// Random numbers by SplitMix64, so that a seed gives the same run on every machine.
 struct Rng(u64);
 
 impl Rng {
@@ -31,9 +32,9 @@
     pub bytes: Vec<u8>,
 }
 
-/// A node that has started or been killed, and when membership notices that.
+/// A node that was started or killed, and when membership detects it.
 struct MembershipChange {
-    noticed_at: Micros,
+    detected_at: Micros,
     node: usize,
     incarnation: u64,
     alive: bool,
@@ -43,108 +44,122 @@
     pub now: Micros,
     pub nodes: Vec<Option<LeaseManager>>,
     pub paused: BTreeSet<usize>,
+    /// Links that drop all messages, from one node to another.
     pub cut: BTreeSet<(usize, usize)>,
+    /// Message loss in percent.
     loss: u64,
-    /// Least time that a message travels.
+    /// Minimum delivery time of a message.
     pub delay: Micros,
     pub in_flight: Vec<Packet>,
     rng: Rng,
     guards: Vec<FencingGuard>,
     holders: BTreeMap<(u8, Term), ProcessId>,
-    /// Clocks run faster or slower by so many parts in 10,000.
+    /// Clock drift of each node, in parts per 10,000.
     pub drift: Vec<i64>,
-    /// Membership notices a change so late.
+    /// Changes that membership has not detected yet.
     membership_changes: Vec<MembershipChange>,
+    /// Incarnation of each process that membership considers alive, by ordinal.
     alive: BTreeMap<u16, u64>,
-    /// How often a process held a member lease, or the check of them shows nothing.
+    /// How often a process was found to hold a member lease. If it is 0, the check of member leases has
+    /// tested nothing.
     pub member_leases_seen: usize,
 }
 
 impl Cluster {
-    pub fn new(number: usize, loss: u64, seed: u64) -> Cluster {
+    pub fn new(size: usize, loss: u64, seed: u64) -> Cluster {
         let mut cluster = Cluster {
             now: 1_000_000 * MS,
-            nodes: (0..number).map(|_| None).collect(),
+            nodes: (0..size).map(|_| None).collect(),
             paused: BTreeSet::new(),
             cut: BTreeSet::new(),
             loss,
             delay: MS,
             in_flight: Vec::new(),
             rng: Rng(seed),
-            guards: vec![FencingGuard::default(); number],
+            guards: vec![FencingGuard::default(); size],
             holders: BTreeMap::new(),
-            drift: vec![0; number],
+            drift: vec![0; size],
             membership_changes: Vec::new(),
             alive: BTreeMap::new(),
             member_leases_seen: 0,
         };
-        (0..number).for_each(|at| cluster.start(at));
+        (0..size).for_each(|index| cluster.start(index));
         cluster
     }
 
-    /// A node's own clock.
-    pub fn clock(&self, at: usize) -> Micros {
-        (self.now as i64 + self.now as i64 / 10_000 * self.drift[at]) as Micros
+    /// Reading of the node's own clock.
+    pub fn clock(&self, index: usize) -> Micros {
+        (self.now as i64 + self.now as i64 / 10_000 * self.drift[index]) as Micros
     }
 
-    pub fn start(&mut self, at: usize) {
+    pub fn start(&mut self, index: usize) {
         let incarnation = self.now / MS;
         let settings =
             Settings { member_lease_duration: 2_500 * MS, ..Settings::new(self.nodes.len() as u16, ROLES) };
-        let me = ProcessId { ordinal: at as u16, incarnation };
-        self.nodes[at] = Some(LeaseManager::new(self.clock(at), me, (self.now / 1_000_000) as u32, settings));
-        self.guards[at] = FencingGuard::default();
-        let noticed_at = self.now + 500 * MS;
-        self.membership_changes.push(MembershipChange { noticed_at, node: at, incarnation, alive: true });
+        let me = ProcessId { ordinal: index as u16, incarnation };
+        self.nodes[index] =
+            Some(LeaseManager::new(self.clock(index), me, (self.now / 1_000_000) as u32, settings));
+        self.guards[index] = FencingGuard::default();
+        let detected_at = self.now + 500 * MS;
+        self.membership_changes.push(MembershipChange { detected_at, node: index, incarnation, alive: true });
     }
 
-    pub fn kill(&mut self, at: usize) {
-        let killed = self.nodes[at].take();
+    pub fn kill(&mut self, index: usize) {
+        let killed = self.nodes[index].take();
         let incarnation = killed.map_or(0, |node| node.me().incarnation);
-        let noticed_at = self.now + 5_000 * MS;
-        self.membership_changes.push(MembershipChange { noticed_at, node: at, incarnation, alive: false });
+        let detected_at = self.now + 5_000 * MS;
+        self.membership_changes.push(MembershipChange {
+            detected_at,
+            node: index,
+            incarnation,
+            alive: false,
+        });
     }
 
-    pub fn execute_commands(&mut self, at: usize) {
-        while let Some(command) = self.nodes[at].as_mut().and_then(LeaseManager::poll_command) {
+    pub fn execute_commands(&mut self, index: usize) {
+        while let Some(command) = self.nodes[index].as_mut().and_then(LeaseManager::poll_command) {
             match command {
-                Command::Send { to, message } => self.send(at, vec![usize::from(to)], message),
-                Command::Broadcast(message) => self.send(at, (0..self.nodes.len()).collect(), message),
+                Command::Send { to, message } => self.send(index, vec![usize::from(to)], message),
+                Command::Broadcast(message) => self.send(index, (0..self.nodes.len()).collect(), message),
                 Command::RoleLeaseChanged { .. } | Command::Event(_) => {}
             }
         }
     }
 
-    fn send(&mut self, at: usize, receivers: Vec<usize>, message: Message) {
+    fn send(&mut self, from: usize, receivers: Vec<usize>, message: Message) {
         let bytes = message.encode();
         assert!(bytes.len() <= MAX_MESSAGE_LENGTH, "{} bytes: {message:?}", bytes.len());
         for to in receivers {
-            if to != at && !self.cut.contains(&(at, to)) && self.rng.below(100) >= self.loss {
+            if to != from && !self.cut.contains(&(from, to)) && self.rng.below(100) >= self.loss {
                 let arrives_at = self.now + self.delay + self.rng.below(20_000);
-                self.in_flight.push(Packet { arrives_at, from: at, to, bytes: bytes.clone() });
+                self.in_flight.push(Packet { arrives_at, from, to, bytes: bytes.clone() });
             }
         }
     }
 
-    /// Each holder acts on all, who accept it or not.
-    fn act(&mut self) {
+    /// Each holder sends an action to all nodes, whose guards accept or reject it. Checks that there is one
+    /// holder for each role and term.
+    fn send_actions(&mut self) {
         for role in 0..ROLES {
-            let mut believers = Vec::new();
-            for at in (0..self.nodes.len()).filter(|at| !self.paused.contains(at)) {
-                let Some(node) = &self.nodes[at] else { continue };
-                let Some(term) = node.holds_lease(self.clock(at), role) else { continue };
-                believers.push(at);
+            let mut current_holders = Vec::new();
+            for index in (0..self.nodes.len()).filter(|index| !self.paused.contains(index)) {
+                let Some(node) = &self.nodes[index] else { continue };
+                let Some(term) = node.holds_lease(self.clock(index), role) else { continue };
+                current_holders.push(index);
                 let holder = self
                     .holders
                     .entry((role, term))
-                    .or_insert(ProcessId { ordinal: at as u16, incarnation: 0 });
-                assert_eq!(usize::from(holder.ordinal), at, "two holders under {term}");
+                    .or_insert(ProcessId { ordinal: index as u16, incarnation: 0 });
+                assert_eq!(usize::from(holder.ordinal), index, "two holders under {term}");
                 for to in 0..self.guards.len() {
-                    let _ =
-                        self.guards[to].accept(role, term, ProcessId { ordinal: at as u16, incarnation: 0 });
+                    let _ = self.guards[to].accept(
+                        role,
+                        term,
+                        ProcessId { ordinal: index as u16, incarnation: 0 },
+                    );
                 }
             }
-            assert!(believers.len() <= 1, "{believers:?} all hold role {role} at {}", self.now);
+            assert!(current_holders.len() <= 1, "{current_holders:?} all hold role {role} at {}", self.now);
         }
     }
 
@@ -154,12 +169,12 @@
             self.now += 10 * MS;
             self.deliver_due();
             self.update_membership();
-            for at in 0..self.nodes.len() {
-                if !self.paused.contains(&at) {
-                    self.handle_timeout(at);
+            for index in 0..self.nodes.len() {
+                if !self.paused.contains(&index) {
+                    self.handle_timeout(index);
                 }
             }
-            self.act();
+            self.send_actions();
             self.check_member_leases();
         }
     }
@@ -178,7 +193,7 @@
     }
 
     fn deliver(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        let message = Message::decode(bytes).expect("a message");
+        let message = Message::decode(bytes).expect("a valid message");
         if let Message::ViewUpdate { role_grants, .. } = &message {
             role_grants.iter().for_each(|&RoleGrant { role, term, holder }| {
                 self.guards[to].observe(role, term, ProcessId { incarnation: 0, ..holder })
@@ -191,11 +206,11 @@
         }
     }
 
-    /// Membership finds out what has changed long enough ago.
+    /// Applies the changes that membership has detected by now.
     fn update_membership(&mut self) {
         let (due, later): (Vec<_>, Vec<_>) = std::mem::take(&mut self.membership_changes)
             .into_iter()
-            .partition(|change| change.noticed_at <= self.now);
+            .partition(|change| change.detected_at <= self.now);
         self.membership_changes = later;
         for MembershipChange { node, incarnation, alive, .. } in due {
             let ordinal = node as u16;
@@ -207,66 +222,67 @@
         }
     }
 
-    fn handle_timeout(&mut self, at: usize) {
-        let clock = self.clock(at);
+    fn handle_timeout(&mut self, index: usize) {
+        let clock = self.clock(index);
         let reachable = |other: &u16| {
             let other = usize::from(*other);
-            !self.cut.contains(&(other, at)) || other == at
+            !self.cut.contains(&(other, index)) || other == index
         };
         let alive: Vec<ProcessId> = (self.alive.iter())
             .filter(|(ordinal, _)| reachable(ordinal))
             .map(|(&ordinal, &incarnation)| ProcessId { ordinal, incarnation })
             .collect();
-        if let Some(node) = &mut self.nodes[at] {
+        if let Some(node) = &mut self.nodes[index] {
             node.set_alive_members(alive);
             node.handle_timeout(clock);
-            self.execute_commands(at);
+            self.execute_commands(index);
         }
     }
 
-    /// A process that holds a member lease is in the list of every leader whose list is newer than its own.
+    /// Checks that each holder of a member lease is in every leader's list that is newer than its own list.
     fn check_member_leases(&mut self) {
-        let holds_lease = |at: usize, node: &LeaseManager| node.member_lease(self.clock(at)).is_some();
-        let nodes = || self.nodes.iter().enumerate().filter_map(|(at, node)| Some((at, node.as_ref()?)));
-        for (at, node) in nodes().filter(|(at, node)| holds_lease(*at, node)) {
+        let holds_lease = |index: usize, node: &LeaseManager| node.member_lease(self.clock(index)).is_some();
+        let nodes =
+            || self.nodes.iter().enumerate().filter_map(|(index, node)| Some((index, node.as_ref()?)));
+        for (index, node) in nodes().filter(|(index, node)| holds_lease(*index, node)) {
             for (other, leader) in nodes().filter(|(other, node)| node.is_leader(self.clock(*other))) {
                 let (term, members) = (leader.member_list().term, &leader.member_list().members);
-                let on = members.contains(node.me());
+                let listed = members.contains(node.me());
                 assert!(
-                    on || term <= node.member_list().term,
-                    "{other} leaves {at} out at {}: {members:?}",
+                    listed || term <= node.member_list().term,
+                    "leader {other} does not list {index}, which holds a member lease, at {}: {members:?}",
                     self.now
                 );
             }
         }
-        self.member_leases_seen += nodes().filter(|(at, node)| holds_lease(*at, node)).count();
+        self.member_leases_seen += nodes().filter(|(index, node)| holds_lease(*index, node)).count();
     }
 
     pub fn holder(&self, role: u8) -> Option<usize> {
-        (0..self.nodes.len()).find(|&at| {
-            let node = self.nodes[at].as_ref().filter(|_| !self.paused.contains(&at));
-            node.is_some_and(|node| node.holds_lease(self.clock(at), role).is_some())
+        (0..self.nodes.len()).find(|&index| {
+            let node = self.nodes[index].as_ref().filter(|_| !self.paused.contains(&index));
+            node.is_some_and(|node| node.holds_lease(self.clock(index), role).is_some())
         })
     }
 
     pub fn leader(&self) -> Option<usize> {
         (0..self.nodes.len())
-            .find(|&at| self.nodes[at].as_ref().is_some_and(|node| node.is_leader(self.clock(at))))
+            .find(|&index| self.nodes[index].as_ref().is_some_and(|node| node.is_leader(self.clock(index))))
     }
 
-    pub fn bootstrapped(number: usize, loss: u64, seed: u64) -> Cluster {
-        let mut cluster = Cluster::new(number, loss, seed);
+    pub fn bootstrapped(size: usize, loss: u64, seed: u64) -> Cluster {
+        let mut cluster = Cluster::new(size, loss, seed);
         cluster.run(12_000);
         assert!(
             cluster.holder(0).is_some() && cluster.holder(1).is_some(),
-            "{number} at {loss}%, seed {seed}: nobody holds a role"
+            "cluster of {size}, loss {loss}%, seed {seed}: a role has no holder after the bootstrap"
         );
         cluster
     }
 
-    pub fn cut_between(&mut self, one: &[usize], other: &[usize]) {
-        for &a in one {
-            other.iter().for_each(|&b| self.cut.extend([(a, b), (b, a)]));
+    pub fn cut_between(&mut self, side_a: &[usize], side_b: &[usize]) {
+        for &a in side_a {
+            side_b.iter().for_each(|&b| self.cut.extend([(a, b), (b, a)]));
         }
     }
 }
