--- a/crates/daemon/src/net/admin_endpoint.rs
+++ b/crates/daemon/src/net/admin_endpoint.rs
@@ -220,7 +220,7 @@
         let Some(client) = self.clients.get_mut(at) else { return };
         match drive(client, cx) {
             Flow::Keep => {}
-            Flow::Again => cx.event_loop.call_again(Owner::AdminClient(at)),
+            Flow::Requeue => cx.event_loop.requeue(Owner::AdminClient(at)),
             Flow::Close => self.remove(at, cx),
         }
     }
--- a/crates/daemon/src/net/backend/connection.rs
+++ b/crates/daemon/src/net/backend/connection.rs
@@ -1,4 +1,4 @@
-//! A connection to a worker: its state, and its callbacks from the event loop.
+//! A connection to a worker: its state and its event-loop callbacks.
 
 use crate::net::Context;
 use crate::net::buffered_stream::BufferedStream;
@@ -12,27 +12,29 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// The longest line of a response, in bytes: a body and little else, and JSON may write one byte as six.
+/// Maximum length of a response line in bytes: a result of the maximum body size, whose bytes JSON may escape
+/// as six bytes each, and 4 KiB for the other fields.
 pub(super) const MAX_LINE_LEN: usize = 6 * MAX_BODY_BYTES + 4 * 1024;
-/// Once a reused connection was reset before it gave one byte back, workers or the network drop idle ones early: for
-/// so long each request has a new connection, which costs a worker a millisecond or two.
-const DISTRUST_DURATION: Millis = 30_000.0;
+/// How long each request gets a new connection after a reused one was reset before its response began. Such a
+/// reset means that workers or the network drop idle connections early. A new connection costs a worker 1 to
+/// 2 ms.
+const REUSE_SUSPENSION: Millis = 30_000.0;
 
-/// What a connection carries.
+/// The exchange that a connection carries.
 #[derive(Clone)]
 pub(super) enum Task {
     Attempt { id: AttemptId, request: Rc<Request>, deadlines: AttemptDeadlines },
     HealthCheck,
 }
 
-/// How far the request of a connection's task has come.
+/// How far the request of a connection's task has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum RequestProgress {
-    /// Nothing of it is buffered: the connection is being opened.
+    /// Nothing is buffered: the connection is still being opened.
     NotStarted,
-    /// It is buffered. How much of it the system has taken is read off the buffer.
+    /// The request is in the output buffer, which shows how much of it has been written to the socket.
     Buffered,
-    /// Its last byte has been handed to the system, and its attempt is counted as sent.
+    /// The last byte has been written to the socket, and the engine has been told that the attempt is sent.
     Sent,
 }
 
@@ -41,24 +43,25 @@
     pub(super) stream: BufferedStream,
     pub(super) worker: WorkerId,
     pub(super) address: SocketAddr,
-    /// Identifies it in alarms: its slot may be another's by then.
+    /// Identifies the connection in alarms, which may fire after its slot has been reused.
     pub(super) serial: u64,
     pub(super) is_connecting: bool,
     pub(super) task: Option<Task>,
-    /// The head of the response that is being received.
+    /// The head of the response that is being received; `None` between responses and before the head is
+    /// complete.
     pub(super) response_head: Option<ResponseHead>,
     pub(super) idle_since: Millis,
-    /// It has carried a whole request before.
+    /// Whether the connection has completed an exchange before.
     pub(super) is_reused: bool,
-    /// The last byte of its request, while that is withheld.
+    /// The last byte of the request while it is withheld (see `LAST_BYTE_DELAY`).
     pub(super) withheld_byte: Option<u8>,
     pub(super) request_progress: RequestProgress,
-    /// When its job started, as far as is known.
+    /// When the worker reported that the job started; until then, when the request was buffered.
     pub(super) job_started_at: Millis,
 }
 
 impl WorkerConnection {
-    /// A connection that is being opened for a task.
+    /// Creates the state of a connection that is being opened for a task.
     pub(super) fn new(
         stream: TcpStream,
         worker: WorkerId,
@@ -83,7 +86,7 @@
         }
     }
 
-    /// The attempt that it carries.
+    /// The attempt that the connection carries; `None` for a health check or no task.
     pub(super) fn attempt(&self) -> Option<AttemptId> {
         match &self.task {
             Some(Task::Attempt { id, .. }) => Some(*id),
@@ -95,17 +98,18 @@
         matches!(&self.task, Some(Task::Attempt { deadlines, .. }) if now >= deadlines.write_deadline)
     }
 
-    /// Whether the request's last byte has been handed to the system. This must be read off the buffer: a note taken
-    /// when a write is reported comes too late for a response that is read in the same turn, and a job that may have
-    /// run would pass for one that never did.
+    /// Whether the request's last byte has been written to the socket. This is derived from the buffer: a
+    /// flag set when the event loop reports the write would be too late for a response read in the same turn,
+    /// and a job that may have run would be treated as one that never ran.
     pub(super) fn is_request_written(&self) -> bool {
         self.request_progress != RequestProgress::NotStarted
             && self.withheld_byte.is_none()
             && self.stream.buffer.output().is_empty()
     }
 
-    /// Tells the engine that the attempt is sent once the request's last byte is out. A response read in the same turn may
-    /// come before the poll reports the write, so every step that ends an attempt calls this first.
+    /// Tells the engine that the attempt is sent, if the request's last byte has been written. A response may
+    /// be read in the same turn, before the write is reported, so every step that ends an attempt calls this
+    /// first.
     pub(super) fn report_if_sent(&mut self, cx: &mut Context) {
         if let Some(Task::Attempt { id, .. }) = &self.task
             && self.request_progress == RequestProgress::Buffered
@@ -116,7 +120,8 @@
         }
     }
 
-    /// Reports an attempt's end to zone routing, which learns from it about the route to the worker's zone.
+    /// Reports an attempt's end to zone routing, which updates the cost of the route to the worker's zone
+    /// from it.
     pub(super) fn report_to_zone_routing(
         &self,
         outcome: Outcome,
@@ -129,13 +134,14 @@
         }
     }
 
-    /// Ends its task, if it still has one.
+    /// Ends the task, if there is one, and reports its outcome.
     pub(super) fn end_task(&mut self, outcome: Outcome, report: Option<LoadReport>, cx: &mut Context) {
         self.report_if_sent(cx);
         match self.task.take() {
             Some(Task::Attempt { id, request, .. }) => {
                 debug!(cx.log, "attempt_ended"; "reused_connection" => self.is_reused, "outcome" => ?outcome,
-                    "attempt" => id.attempt, "endpoint" => cx.endpoints.name(self.worker), "request" => &request.id);
+                    "attempt" => id.attempt, "endpoint" => cx.endpoints.name(self.worker),
+                    "request" => &request.id);
                 if let Some(signal) = self.endpoint_signal(outcome, report) {
                     cx.endpoints.handle_signal(cx.now, self.worker, signal);
                 }
@@ -147,7 +153,8 @@
         }
     }
 
-    /// What an attempt's end says of the worker's endpoint.
+    /// The discovery signal that an attempt's outcome gives about the worker's endpoint; `None` if it gives
+    /// none.
     fn endpoint_signal(&self, outcome: Outcome, report: Option<LoadReport>) -> Option<EndpointSignal> {
         let has_capacity = report.and_then(|report| report.free_slots).is_some_and(|free| free >= 1.0);
         match outcome {
@@ -158,10 +165,11 @@
         }
     }
 
-    /// Ends its task, if it still has one, with the connection. A request whose last byte was not out can't have run.
+    /// Ends the task, if there is one, because the connection is lost. A request whose last byte was not
+    /// written can't have run.
     fn on_connection_lost(&mut self, cx: &mut Context) {
         if self.task.is_some() && self.response_head.is_none() && self.is_reused {
-            *cx.distrust_until = cx.now + DISTRUST_DURATION;
+            *cx.reuse_suspended_until = cx.now + REUSE_SUSPENSION;
         }
         let outcome = if self.is_request_written() { Outcome::Reset } else { Outcome::ConnectFailed };
         self.end_task(outcome, None, cx);
@@ -184,8 +192,8 @@
 
     fn on_open(&mut self, cx: &mut Context) -> Flow {
         self.is_connecting = false;
-        // Much may have changed since the connection was asked for: a worker that has been told to drain meanwhile must
-        // get nothing new, and an attempt must not be written after its deadline.
+        // The state may have changed while the connection was being opened: a worker that is draining by now
+        // must not get new requests, and an attempt must not be written after its deadline.
         if self.is_past_write_deadline(cx.now) || !cx.endpoints.is_ready(self.worker) {
             self.end_task(Outcome::NeverSent, None, cx);
             return Flow::Close;
@@ -198,7 +206,7 @@
     fn on_input(&mut self, cx: &mut Context) -> Flow {
         let flow = self.read_response(cx);
         if flow == Flow::Close {
-            // A malformed response ends the exchange as a lost connection does.
+            // A malformed response ends the exchange like a lost connection.
             self.on_connection_lost(cx);
         }
         flow
--- a/crates/daemon/src/net/backend/mod.rs
+++ b/crates/daemon/src/net/backend/mod.rs
@@ -1,15 +1,15 @@
-//! The workers' side: a pool of connections, and the attempts and health checks that travel on them.
+//! The worker side: the connection pool, and the attempts and health checks that use its connections.
 //!
-//! **Invariant.** Each attempt ends exactly once. It ends as never sent (`NeverSent`, `ConnectFailed`) only if its request's
-//! last byte was not handed to the system.
+//! **Invariant.** Each attempt ends exactly once. It ends as never sent (`NeverSent`, `ConnectFailed`) only
+//! if its request's last byte was not written to the socket.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `connection` | a connection's state and its callbacks |
 //! | `request_writer` | writes requests |
-//! | `response_reader` | reads responses, line by line |
+//! | `response_reader` | reads responses line by line |
 //! | `pool` | finds, opens and closes connections |
-//! | `timeouts` | ends what has taken too long |
+//! | `timeouts` | connect, response and health check timeouts |
 
 mod connection;
 mod pool;
@@ -29,22 +29,22 @@
 
 /// An attempt that the engine starts.
 pub struct Attempt {
-    /// Its job and its number.
+    /// The job, and the number of the attempt within it.
     pub id: AttemptId,
-    /// The worker that it goes to.
+    /// The worker that the request is sent to.
     pub worker: WorkerId,
-    /// What is sent.
+    /// The request, shared by all attempts of the job.
     pub request: Rc<Request>,
-    /// Its deadlines.
+    /// When the request must be written and the response received.
     pub deadlines: AttemptDeadlines,
 }
 
 /// All connections to workers.
 pub struct Backend {
     connections: Slab<WorkerConnection>,
-    /// Slots of idle connections by worker, the one used last at the end.
+    /// Slots of idle connections by worker, the most recently used one last.
     idle: HashMap<WorkerId, Vec<usize>>,
-    /// Slots of the connections that carry attempts.
+    /// Slots of the connections that carry attempts, by attempt.
     attempts: HashMap<AttemptId, usize>,
     max_connections: usize,
     connect_timeout: Millis,
@@ -52,8 +52,8 @@
 }
 
 impl Backend {
-    /// `max_connections`: connections that may be open at the same time. `idle_limit`: how long workers keep an idle
-    /// connection open.
+    /// `max_connections`: maximum number of open connections to all workers. `idle_limit`: how long workers
+    /// keep an idle connection open.
     pub fn new(max_connections: usize, connect_timeout: Millis, idle_limit: Millis) -> Self {
         Backend {
             connections: Slab::new(),
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Starts an attempt. It ends once, whatever happens.
+    /// Starts an attempt. The engine is told of its end exactly once, also if it can't be sent.
     pub fn start_attempt(&mut self, attempt: Attempt, cx: &mut Context) {
         let Attempt { id, worker, request, deadlines } = attempt;
         let is_ready = cx.endpoints.is_ready(worker);
@@ -93,7 +93,7 @@
         }
     }
 
-    /// Asks a worker for its load.
+    /// Sends a health check, which asks a worker for its load report.
     pub fn check_health(&mut self, worker: WorkerId, cx: &mut Context) {
         match self.assign(Task::HealthCheck, worker, cx) {
             Some(slot) => {
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Ends an attempt by closing its connection. One whose request is not wholly written by then never ran.
+    /// Ends an attempt by closing its connection. The outcome is `NeverSent` if the request is not fully
+    /// written.
     pub fn cancel(&mut self, id: AttemptId, outcome: Outcome, cx: &mut Context) {
         let Some(&slot) = self.attempts.get(&id) else { return };
         let connection = &mut self.connections[slot];
@@ -113,14 +114,14 @@
         self.remove(slot, cx);
     }
 
-    /// Ends an attempt unless its request's last byte is written.
+    /// Cancels an attempt unless its request's last byte has been written.
     pub fn cancel_unsent(&mut self, id: AttemptId, cx: &mut Context) {
         if self.attempts.get(&id).is_some_and(|&slot| !self.connections[slot].is_request_written()) {
             self.cancel(id, Outcome::NeverSent, cx);
         }
     }
 
-    /// Handles what the poll reports of a connection.
+    /// Handles a readiness event of a connection.
     pub fn on_ready(&mut self, slot: usize, cx: &mut Context) {
         let Some(connection) = self.connections.get_mut(slot) else { return };
         let attempt_before = connection.attempt();
@@ -138,8 +139,8 @@
         self.after_callback(slot, attempt_before, flow, cx);
     }
 
-    /// Closes a connection, or returns it to the pool if it is free. `attempt_before`: what it carried before the
-    /// callback.
+    /// Closes a connection, or returns it to the pool if it is free. `attempt_before`: the attempt that it
+    /// carried before the callback.
     fn after_callback(
         &mut self,
         slot: usize,
@@ -154,7 +155,7 @@
         }
         match flow {
             Flow::Keep => {}
-            Flow::Again => cx.event_loop.call_again(Owner::Backend(slot)),
+            Flow::Requeue => cx.event_loop.requeue(Owner::Backend(slot)),
             Flow::Close => return self.remove(slot, cx),
         }
         self.return_to_pool(slot);
--- a/crates/daemon/src/net/backend/pool.rs
+++ b/crates/daemon/src/net/backend/pool.rs
@@ -1,4 +1,4 @@
-//! The pool of connections to workers: which one carries a task, and when idle ones are closed.
+//! The pool of connections to workers: selects the connection for a task and closes idle ones.
 
 use super::Backend;
 use super::connection::{Task, WorkerConnection};
@@ -8,22 +8,24 @@
 use brackenledge_policy::{Effect, WorkerId};
 use std::net::SocketAddr;
 
-/// Idle connections are closed after this fraction of the time for which workers keep them open, and at least
-/// [`IDLE_TIMEOUT_MARGIN`] before its end: what is written to one that the other side closes meanwhile ends as a reset.
+/// Fraction of the workers' idle timeout after which idle connections are closed here. A request written to a
+/// connection that the worker closes at the same time ends with a reset.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
+/// Minimum time between the close of an idle connection here and the workers' idle timeout.
 const IDLE_TIMEOUT_MARGIN: Millis = 500.0;
-/// A second response may come some milliseconds behind the first, and one without a line in it names no request: on a
-/// connection reused at once it would pass for the next request's, and a job that may run for one that never ran. So
-/// each connection is idle for some round trips before it carries a request that must not be repeated at will.
+/// Minimum idle time, a few round trips, before a connection carries a request that is not safe to repeat. A
+/// worker may send a duplicate response some milliseconds after the first, and a response without a line
+/// names no request. On a connection that is reused at once, it would be taken for the response to the next
+/// request, and a job that may run would be treated as one that never ran.
 const REUSE_DELAY: Millis = 20.0;
 
-/// How long a connection stays in the pool, by how long workers keep it open.
+/// How long a connection stays in the pool. `idle_limit`: how long workers keep an idle connection open.
 pub(super) fn idle_timeout(idle_limit: Millis) -> Millis {
     (IDLE_TIMEOUT_FRACTION * idle_limit).min(idle_limit - IDLE_TIMEOUT_MARGIN).max(0.0)
 }
 
 impl Backend {
-    /// Finds or opens a connection for a task, and returns its slot; `None`: none can be had.
+    /// Finds or opens a connection for a task and returns its slot; `None` if no connection is available.
     pub(super) fn assign(&mut self, task: Task, worker: WorkerId, cx: &mut Context) -> Option<usize> {
         let address = cx.endpoints.address(worker)?;
         if let Some(slot) = self.take_reusable(&task, worker, address, cx) {
@@ -36,7 +38,8 @@
         self.open(task, worker, address, cx)
     }
 
-    /// Takes an idle connection that may carry a task from the pool, and closes those that no task may use any more.
+    /// Takes an idle connection that may carry the task from the pool. Closes the unusable ones that it comes
+    /// across.
     fn take_reusable(
         &mut self,
         task: &Task,
@@ -50,8 +53,10 @@
         };
         while let Some(slot) = self.take_idle(worker, cx.now - reuse_delay) {
             let connection = &self.connections[slot];
-            // The address may have changed, and what has been idle too long may be closed on the other side.
-            let is_fresh = cx.now < connection.idle_since + self.idle_timeout && cx.now >= *cx.distrust_until;
+            // The worker's address may have changed, and the worker may close a connection that was idle too
+            // long.
+            let is_fresh =
+                cx.now < connection.idle_since + self.idle_timeout && cx.now >= *cx.reuse_suspended_until;
             if connection.address == address && is_fresh && connection.stream.has_nothing_to_read() {
                 return Some(slot);
             }
@@ -60,14 +65,14 @@
         None
     }
 
-    /// Takes the connection to a worker that was used last from the pool, of those that have been idle since then.
+    /// Takes the most recently used of a worker's connections that have been idle at least since `since`.
     fn take_idle(&mut self, worker: WorkerId, since: Millis) -> Option<usize> {
         let idle = self.idle.get_mut(&worker)?;
         let index = idle.iter().rposition(|&slot| self.connections[slot].idle_since <= since)?;
         Some(idle.remove(index))
     }
 
-    /// Closes the connection that has been idle for longest; `None` if none is idle.
+    /// Closes the connection that has been idle the longest; `None` if none is idle.
     fn close_oldest_idle(&mut self, cx: &mut Context) -> Option<()> {
         let idle_since = |slot: usize| self.connections[slot].idle_since;
         let idle = self.idle.values().flatten().copied();
@@ -90,7 +95,7 @@
         Some(slot)
     }
 
-    /// Puts a connection into the pool if it is free and not there yet.
+    /// Puts a connection into the pool if it is free and not in the pool yet.
     pub(super) fn return_to_pool(&mut self, slot: usize) {
         let connection = &self.connections[slot];
         let is_free = connection.task.is_none() && connection.response_head.is_none();
@@ -100,7 +105,8 @@
         }
     }
 
-    /// Closes connections without a task that are old, or whose worker is gone or has another address.
+    /// Closes connections without a task that were idle too long, or whose worker is not ready or has a new
+    /// address.
     pub fn sweep(&mut self, cx: &mut Context) {
         let (now, idle_timeout) = (cx.now, self.idle_timeout);
         let is_stale = |connection: &WorkerConnection| {
@@ -116,17 +122,17 @@
         }
     }
 
-    /// Closes the idle connections to a worker.
+    /// Closes all idle connections to a worker.
     pub fn close_idle(&mut self, worker: WorkerId, cx: &mut Context) {
         for slot in self.idle.remove(&worker).unwrap_or_default() {
             self.remove(slot, cx);
         }
     }
 
-    /// Closes a connection. Its task has ended before.
+    /// Closes a connection whose task has already ended.
     pub(super) fn remove(&mut self, slot: usize, cx: &mut Context) {
         let mut connection = self.connections.remove(slot);
-        self.attempts.retain(|_, carrier| *carrier != slot);
+        self.attempts.retain(|_, other| *other != slot);
         if let Some(idle) = self.idle.get_mut(&connection.worker) {
             idle.retain(|&other| other != slot);
         }
--- a/crates/daemon/src/net/backend/request_writer.rs
+++ b/crates/daemon/src/net/backend/request_writer.rs
@@ -7,13 +7,13 @@
 use brackenledge_policy::Effect;
 use brackenledge_protocol::worker_request::{WorkerJobHead, encode_load_request};
 
-/// While pooled connections are not trusted, the last byte of a request that must not run twice is withheld for so long
-/// after the rest, a round trip between zones: a connection that is reset meanwhile has not carried it, and it may go
-/// elsewhere.
+/// How long the last byte of a non-idempotent request is withheld after the rest, while reuse of connections
+/// is suspended: a round trip between zones. If the connection is reset in that time, the request was never
+/// complete and may be sent to another worker.
 const LAST_BYTE_DELAY: Millis = 12.0;
 
 impl WorkerConnection {
-    /// Buffers a task's request.
+    /// Starts a task by buffering its request.
     pub(super) fn start(&mut self, task: Task, cx: &mut Context) {
         self.response_head = None;
         self.request_progress = RequestProgress::Buffered;
@@ -32,7 +32,7 @@
     fn write_job(&mut self, request: &Request, deadlines: AttemptDeadlines, cx: &mut Context) {
         let mut message = self.job_head(request, deadlines, cx.now).into_bytes();
         message.extend_from_slice(&request.body);
-        if request.effect == Effect::NonIdempotent && *cx.distrust_until > cx.now {
+        if request.effect == Effect::NonIdempotent && *cx.reuse_suspended_until > cx.now {
             self.withheld_byte = message.pop();
             cx.event_loop.set_alarm(cx.now + LAST_BYTE_DELAY, Alarm::LastByte(self.serial));
         }
--- a/crates/daemon/src/net/backend/response_reader.rs
+++ b/crates/daemon/src/net/backend/response_reader.rs
@@ -1,4 +1,5 @@
-//! Reads responses from a worker's connection: a job's progress line by line, or the load that a health check asks for.
+//! Reads responses from a worker's connection: the lines that report a job's progress, or the load report
+//! that answers a health check.
 
 use super::connection::{MAX_LINE_LEN, Task, WorkerConnection};
 use crate::net::Context;
@@ -10,11 +11,11 @@
 use brackenledge_protocol::worker::{LineState, decode_line, decode_load};
 
 impl WorkerConnection {
-    /// Reads a response as far as it has come; `Close` where the connection can't be used again.
+    /// Reads the received part of a response. Returns `Close` if the connection can't be used any more.
     pub(super) fn read_response(&mut self, cx: &mut Context) -> Flow {
         self.report_if_sent(cx);
         if self.task.is_none() && self.response_head.is_none() {
-            // No request is open: which one later bytes would belong to can't be told.
+            // No request is open, so these bytes can't be assigned to one.
             return Flow::Close;
         }
         if self.response_head.is_none() {
@@ -36,7 +37,7 @@
         self.finish_response(closes, cx)
     }
 
-    /// Reads the lines that have come. `is_complete`: whether the body has come to its end.
+    /// Handles the received lines. `is_complete`: whether the end of the body has been received.
     fn read_lines(&mut self, is_complete: bool, cx: &mut Context) -> Flow {
         while let Some(Task::Attempt { id, request, .. }) = self.task.clone() {
             let Some(line) = self.next_line(is_complete) else { break };
@@ -50,15 +51,15 @@
     fn next_line(&mut self, is_complete: bool) -> Option<Vec<u8>> {
         let head = self.response_head.as_mut()?;
         head.body.take_line(&mut self.stream.buffer).or_else(|| {
-            // The last line may come without a line feed.
+            // The last line may lack its line feed.
             (is_complete && head.body.ready() > 0).then(|| head.body.take_all(&mut self.stream.buffer))
         })
     }
 
-    /// Handles one line of the response to an attempt; `Close` where it is malformed.
+    /// Handles one line of the response to an attempt. Returns `Close` if the line is malformed.
     fn on_line(&mut self, line: &[u8], id: AttemptId, request_id: &str, cx: &mut Context) -> Flow {
         let Ok(line) = decode_line(line) else { return Flow::Close };
-        // A line that names another request, or none, is no response to this one.
+        // A line with another request's id, or with none, does not belong to this response.
         if line.id.as_deref() != Some(request_id) {
             return Flow::Close;
         }
@@ -70,7 +71,7 @@
             }
             LineState::Running { share } => cx.engine.attempt_progressed(id, share),
             LineState::Done { result: Some(result) } => self.on_job_served(id, result, report, cx),
-            // A response without its result can't be given to the client.
+            // Without a result there is nothing to answer the client with.
             LineState::Done { result: None } | LineState::Failed => {
                 self.end_task(Outcome::WorkerError, report, cx);
             }
@@ -81,7 +82,7 @@
         Flow::Keep
     }
 
-    /// Ends the attempt that it carries with its result.
+    /// Ends the attempt as served, with its result.
     fn on_job_served(&mut self, id: AttemptId, result: String, report: Option<LoadReport>, cx: &mut Context) {
         self.task = None;
         cx.endpoints.handle_signal(cx.now, self.worker, EndpointSignal::JobServed);
@@ -92,7 +93,7 @@
         cx.engine.attempt_served(id, result, report);
     }
 
-    /// Ends the task by what the response says as a whole, unless one of its lines has ended it.
+    /// Ends the task by the response's status and headers, unless one of its lines has ended it already.
     pub(super) fn on_response_complete(&mut self, cx: &mut Context) {
         let Some(mut head) = self.response_head.take() else { return };
         let body = head.body.take_all(&mut self.stream.buffer);
@@ -105,27 +106,28 @@
         self.end_task(attempt_outcome(head.status, head.never_ran), head.load, cx);
     }
 
-    /// Ends the exchange; `Close` where the connection can't carry another one.
+    /// Ends the exchange. Returns `Close` if the connection can't carry another one.
     fn finish_response(&mut self, closes: bool, cx: &mut Context) -> Flow {
         self.on_response_complete(cx);
         if closes && self.is_reused {
-            // The worker has kept this connection open so far, and now no longer does.
+            // The worker kept this connection open before and closes it now.
             cx.endpoints.handle_signal(cx.now, self.worker, EndpointSignal::ConnectionClosed);
         }
         self.idle_since = cx.now;
         self.is_reused = true;
-        // Bytes behind the response belong to no request, and no request can follow one that is not wholly written.
+        // Bytes after the response belong to no request, and no request can follow one that is only partly
+        // written.
         let is_clean = self.stream.buffer.input().is_empty() && self.is_request_written();
         if closes || !is_clean { Flow::Close } else { Flow::Keep }
     }
 }
 
-/// The outcome of an attempt whose response ended without a final line.
+/// The outcome of an attempt whose response ended without a line that ends the job.
 fn attempt_outcome(status: u16, never_ran: bool) -> Outcome {
     match status {
         200 => Outcome::Reset,
         503 | 504 if never_ran => Outcome::Full,
-        // The request itself was malformed: that says nothing of the worker's health.
+        // The worker rejected the request itself, which says nothing about the worker's health.
         400..=499 => Outcome::BadRequest,
         _ => Outcome::WorkerError,
     }
--- a/crates/daemon/src/net/buffered_stream.rs
+++ b/crates/daemon/src/net/buffered_stream.rs
@@ -1,17 +1,17 @@
-//! A non-blocking TCP socket with its input and output buffers, as all connections of the event loop have it.
+//! A non-blocking TCP socket with its input and output buffers. All connections of the event loop use it.
 
 use brackenledge_protocol::http::Buffer;
 use mio::net::TcpStream;
 use std::io::{self, ErrorKind, Write};
 
-/// The receiving half of a connection after a read.
+/// State of the receiving half of a connection after a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StreamState {
     /// The peer may send more.
     Open,
     /// The peer has closed its sending half.
     ReadClosed,
-    /// The connection is broken.
+    /// Reading failed: the connection is unusable.
     Broken,
 }
 
@@ -26,8 +26,9 @@
         BufferedStream { socket, buffer: Buffer::default() }
     }
 
-    /// Reads until there are `max_input` bytes of input or the socket has no more. The poll is edge-triggered: a caller
-    /// that stops at `max_input` has to come back by itself.
+    /// Reads until `max_input` bytes of input are buffered or the socket has no more. The poll is
+    /// edge-triggered, so a caller that reaches `max_input` must read again without waiting for another
+    /// event.
     pub fn fill(&mut self, max_input: usize) -> StreamState {
         while self.buffer.input().len() < max_input {
             match self.buffer.read_from(&mut self.socket) {
@@ -41,12 +42,13 @@
         StreamState::Open
     }
 
-    /// Whether neither bytes nor the connection's end have arrived, also if the poll has not reported them yet.
+    /// Whether the socket has neither bytes nor an end of stream to read. Asks the socket, so that it also
+    /// sees what the poll has not reported yet.
     pub fn has_nothing_to_read(&self) -> bool {
         matches!(self.socket.peek(&mut [0; 1]), Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 
-    /// Writes as much output as the socket accepts. Returns whether that is all.
+    /// Writes as much output as the socket accepts. Returns whether the output buffer is empty now.
     pub fn flush(&mut self) -> io::Result<bool> {
         while !self.buffer.output().is_empty() {
             match self.socket.write(self.buffer.output()) {
--- a/crates/daemon/src/net/commands.rs
+++ b/crates/daemon/src/net/commands.rs
@@ -11,14 +11,15 @@
 use brackenledge_policy::Outcome;
 use slog::info;
 
-/// `Retry-After`, in milliseconds, of a job whose request id is in use by another open job.
+/// `Retry-After` in milliseconds for a job whose request id is in use by another open job.
 const ID_IN_USE_RETRY_AFTER_MS: u32 = 1_000;
 
 impl Scheduler<'_> {
-    /// Executes the commands of all state machines until none is left, then flushes what is sent in batches.
+    /// Executes the commands of all state machines until none is left, then flushes the batched peer
+    /// messages.
     pub(super) fn execute_commands(&mut self) {
         loop {
-            // Changes of endpoints go first: a job must not be sent by an outdated status.
+            // Endpoint changes go first, so that no job is sent on the basis of an outdated status.
             if let Some(command) = self.endpoints.poll_command() {
                 self.execute_discovery_command(command);
             } else if let Some(command) = self.job_failover.as_mut().and_then(JobFailover::poll_command) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /// Hands a job of the failover state machine to the engine.
+    /// Submits a job of the failover state machine to the engine.
     fn start_failover_job(
         &mut self,
         key: JobKey,
@@ -96,7 +97,8 @@
             None => None,
             Some(prior) => {
                 let Some(worker) = cx.endpoints.find(&prior.worker) else {
-                    // A retry may only go to the worker of the earlier attempt, which is not known here.
+                    // A retry may only go to the worker of the earlier attempt, which this scheduler doesn't
+                    // know.
                     job_failover.job_not_admitted(&key, JobOutcome::Failed);
                     return;
                 };
@@ -109,14 +111,14 @@
         });
         match admitted {
             Some(job) => job_failover.job_admitted(key, job),
-            // Its payload can't be decoded, or another open job has its request id; the client may submit it again.
+            // The payload can't be decoded, or another open job has the request id. The client may retry.
             None => {
                 job_failover.job_not_admitted(&key, JobOutcome::Rejected(Some(ID_IN_USE_RETRY_AFTER_MS)));
             }
         }
     }
 
-    /// Answers the clients that wait for the outcome of a replicated job.
+    /// Answers all clients that wait for the outcome of a replicated job.
     fn answer_waiters(&mut self, waiters: Vec<Waiter>, outcome: &JobOutcome) {
         let cx = &mut context!(self);
         for waiter in waiters {
@@ -133,7 +135,7 @@
         match command {
             Command::Answer { client, job, answer } => {
                 let job_failover = cx.job_failover.as_mut();
-                // Failover answers its jobs itself, to all clients that wait for them.
+                // For a replicated job, failover answers all waiting clients itself.
                 if !job_failover.is_some_and(|job_failover| job_failover.job_answered(job, &answer)) {
                     self.frontend.answer(client, job, answer, cx);
                 }
@@ -164,7 +166,8 @@
         }
     }
 
-    /// Sends an attempt to its worker. One of a replicated job may have to wait for acknowledgement first.
+    /// Starts an attempt. An attempt of a replicated job is held until failover permits it, which may require
+    /// an acknowledgement from a replica first.
     fn start_attempt(&mut self, attempt: Attempt) {
         let cx = &mut context!(self);
         let permitted = match cx.job_failover {
@@ -185,7 +188,8 @@
         }
     }
 
-    /// Sends a text to all other schedulers: aggregated loads as a fenced message, where the cluster is on.
+    /// Sends a text to all other schedulers. With the cluster enabled, aggregated loads are sent as a fenced
+    /// message.
     fn broadcast_to_peers(&mut self, text: &str) {
         let Some(peer) = &self.peer else { return };
         match &mut self.cluster {
--- a/crates/daemon/src/net/connector.rs
+++ b/crates/daemon/src/net/connector.rs
@@ -1,4 +1,4 @@
-//! Outgoing TCP connections: how they are opened.
+//! Opens outgoing TCP connections.
 
 use mio::net::TcpStream;
 use rustix::io::Errno;
@@ -9,11 +9,12 @@
 #[cfg(test)]
 mod tests;
 
-/// Opens a connection that does not block. It may still be in progress: the poll reports when it is open.
+/// Starts a non-blocking connection. It may still be in progress on return: the poll reports when it is open.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_nonblocking(true)?;
-    // Small messages must not wait for one another. It is set before anything can be connected.
+    // Disables Nagle's algorithm, which would delay small messages. Set before connecting, so that it always
+    // applies.
     socket.set_tcp_nodelay(true)?;
     match socket.connect(&address.into()) {
         Err(error) if error.raw_os_error() != Some(Errno::INPROGRESS.raw_os_error()) => Err(error),
--- a/crates/daemon/src/net/discovery.rs
+++ b/crates/daemon/src/net/discovery.rs
@@ -230,7 +230,7 @@
         let Some(request) = self.requests.get_mut(at) else { return };
         match drive(request, cx) {
             Flow::Keep => {}
-            Flow::Again => cx.event_loop.call_again(Owner::Discovery(at)),
+            Flow::Requeue => cx.event_loop.requeue(Owner::Discovery(at)),
             Flow::Close => {
                 let mut request = self.requests.remove(at);
                 cx.event_loop.deregister(&mut request.stream.socket);
--- a/crates/daemon/src/net/event_loop.rs
+++ b/crates/daemon/src/net/event_loop.rs
@@ -1,4 +1,5 @@
-//! The event loop's parts: the poll, the clock and the timers; in a module of their own, the connections that it drives.
+//! The event loop: the poll, the clock and the alarms. The submodule `connection` drives the connections'
+//! protocols.
 
 mod connection;
 #[cfg(test)]
@@ -16,8 +17,8 @@
 
 pub use brackenledge_policy::Millis;
 
-/// The clock: Unix time when the program started, and from then on the monotonic clock. So it never runs backwards,
-/// and a Unix time that others report (a worker's start) is a point on it.
+/// A clock that starts at the Unix time of its creation and advances with the monotonic clock. It never runs
+/// backwards, and can be compared with Unix times that other processes report, such as a worker's start.
 pub struct Clock {
     origin: Instant,
     /// Unix time at `origin`.
@@ -35,42 +36,45 @@
     }
 }
 
-/// What a timer is for. None can be cancelled: its handler checks that it still applies.
+/// The purpose of an alarm. Alarms can't be cancelled: the handler checks whether the alarm still applies.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Alarm {
     /// The engine's timer has expired.
     EngineTimer,
-    /// An attempt has waited for its response as long as it may.
+    /// The response deadline of an attempt has passed.
     ResponseDeadline(AttemptId),
-    /// An attempt whose request is not wholly written by now must not be sent any more.
+    /// The write deadline of an attempt has passed: if its request is not fully written, it must not be sent.
     WriteDeadline(AttemptId),
-    /// A connection to a worker should be open by now.
+    /// The connect timeout of the worker connection with this serial has passed.
     Connect(u64),
-    /// The last byte of a request, which was withheld, may be written.
+    /// The withheld last byte of a request may be written on the worker connection with this serial.
     LastByte(u64),
-    /// A health check has waited for its response as long as it may.
+    /// The health check on the worker connection with this serial has timed out.
     HealthCheck(u64),
-    /// The endpoint directory has a timeout: a late request, a message to be sent again.
+    /// The endpoint directory has a timeout, such as a late request or a message to retransmit.
     Discovery,
-    /// Accepting may work again.
+    /// Accepting clients is to be retried.
     Accept,
-    /// Idle connections are swept.
+    /// Connections are to be checked for timeouts.
     Sweep,
     /// The counters are to be logged.
     Counters,
-    /// A step of the graceful shutdown is due.
+    /// The graceful shutdown starts to close connections, and unsent jobs are transferred to other
+    /// schedulers.
     Shutdown,
-    /// The process is about to end: every pending job is answered now.
-    AnswerAll,
+    /// The graceful shutdown's deadline for responses has come: every pending job is failed.
+    FailPendingJobs,
     /// Membership or leases have a timeout.
     Cluster,
     /// Zone routing has a timeout.
     ZoneRouting,
-    /// Failover has a timeout, or a link to another scheduler is to be opened again.
+    /// Failover has a timeout, or a link to another scheduler is to be reopened.
     JobFailover,
 }
 
-/// Which part of the program owns a token.
+/// The component that a poll token belongs to. The low two bits of a token are 1 to 3 for frontend, backend
+/// and discovery connections, with the slot above them. The other owners share 0: above it, 0 to 4 are the
+/// single sockets, odd numbers from 5 the admin clients and even numbers from 6 the peer links.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
     Listener,
@@ -93,36 +97,37 @@
             Owner::Peer => 8,
             Owner::AdminListener => 12,
             Owner::PeerLinkListener => 16,
-            Owner::AdminClient(at) => (2 * at + 5) << 2,
-            Owner::PeerLink(at) => (2 * at + 6) << 2,
-            Owner::Frontend(at) => at << 2 | 1,
-            Owner::Backend(at) => at << 2 | 2,
-            Owner::Discovery(at) => at << 2 | 3,
+            Owner::AdminClient(slot) => (2 * slot + 5) << 2,
+            Owner::PeerLink(slot) => (2 * slot + 6) << 2,
+            Owner::Frontend(slot) => slot << 2 | 1,
+            Owner::Backend(slot) => slot << 2 | 2,
+            Owner::Discovery(slot) => slot << 2 | 3,
         })
     }
 
     pub fn of(token: Token) -> Self {
-        let at = token.0 >> 2;
-        match (token.0 & 3, at) {
-            (1, _) => Owner::Frontend(at),
-            (2, _) => Owner::Backend(at),
-            (3, _) => Owner::Discovery(at),
+        let index = token.0 >> 2;
+        match (token.0 & 3, index) {
+            (1, _) => Owner::Frontend(index),
+            (2, _) => Owner::Backend(index),
+            (3, _) => Owner::Discovery(index),
             (_, 0) => Owner::Listener,
             (_, 1) => Owner::Signal,
             (_, 2) => Owner::Peer,
             (_, 3) => Owner::AdminListener,
             (_, 4) => Owner::PeerLinkListener,
-            _ if at % 2 == 1 => Owner::AdminClient((at - 5) / 2),
-            _ => Owner::PeerLink((at - 6) / 2),
+            _ if index % 2 == 1 => Owner::AdminClient((index - 5) / 2),
+            _ => Owner::PeerLink((index - 6) / 2),
         }
     }
 }
 
-/// A poll that ends so long after its timeout was suspended on its way; the system rounds timeouts up to a millisecond.
+/// A poll that returns later than this after its timeout is assumed to have been suspended. The system rounds
+/// timeouts up to a millisecond.
 const MAX_POLL_OVERRUN: Duration = Duration::from_millis(2);
 
-/// An alarm in the queue. The earliest one comes first, and of those due at one time the one that was set first: the
-/// order of the fields.
+/// An alarm in the queue. The derived order follows the fields: the earliest alarm first, and of several due
+/// at the same time the one that was set first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct ScheduledAlarm {
     due_at_micros: u64,
@@ -130,11 +135,12 @@
     alarm: Alarm,
 }
 
-/// The poll, the clock and the timers.
+/// The poll, the clock and the alarm queue.
 pub struct EventLoop {
     poll: Poll,
-    /// Owners with more to read than one turn allows: the poll is edge-triggered and does not report them again.
-    again: Vec<Owner>,
+    /// Owners with more to read than one turn allows. The poll is edge-triggered and does not report them
+    /// again.
+    requeued: Vec<Owner>,
     clock: Clock,
     alarms: BinaryHeap<Reverse<ScheduledAlarm>>,
     last_serial: u64,
@@ -144,7 +150,7 @@
     pub fn new() -> io::Result<Self> {
         Ok(EventLoop {
             poll: Poll::new()?,
-            again: Vec::new(),
+            requeued: Vec::new(),
             clock: Clock::new(),
             alarms: BinaryHeap::new(),
             last_serial: 0,
@@ -155,7 +161,7 @@
         self.clock.now()
     }
 
-    /// A number that was not given out before.
+    /// Returns a number that is unique within this event loop.
     pub fn next_serial(&mut self) -> u64 {
         self.last_serial += 1;
         self.last_serial
@@ -166,12 +172,12 @@
         self.poll.registry().register(source, owner.token(), Interest::READABLE | Interest::WRITABLE)
     }
 
-    /// Registers a source that is only read with the poll.
+    /// Registers a source with the poll for reading only.
     pub fn register_readable(&self, source: &mut impl Source, owner: Owner) -> io::Result<()> {
         self.poll.registry().register(source, owner.token(), Interest::READABLE)
     }
 
-    /// Takes a source off the poll before it is closed.
+    /// Removes a source from the poll before it is closed.
     pub fn deregister(&self, source: &mut impl Source) {
         // It fails only for a source that is not registered.
         let _ = self.poll.registry().deregister(source);
@@ -184,9 +190,9 @@
         self.alarms.push(Reverse(ScheduledAlarm { due_at_micros, serial, alarm }));
     }
 
-    /// Removes the next alarm that was due when the poll last returned, at `polled_at`. So an event that came in time is
-    /// handled before its timeout, however long a turn takes, and alarms that come due meanwhile wait for the next turn:
-    /// they never starve the poll.
+    /// Removes the next alarm that was due when the poll last returned, at `polled_at`. An event that came in
+    /// time is thereby handled before its timeout, however long a turn takes. Alarms that become due during
+    /// the turn wait for the next one, so they can't starve the poll.
     pub fn pop_due_alarm(&mut self, polled_at: Millis) -> Option<Alarm> {
         let &Reverse(next) = self.alarms.peek()?;
         if next.due_at_micros as f64 > polled_at * 1_000.0 {
@@ -196,18 +202,18 @@
         Some(next.alarm)
     }
 
-    /// Calls this owner in the next turn, whatever the poll reports. If it is closed by then, another may have its
-    /// token, which is then called once without need.
-    pub fn call_again(&mut self, owner: Owner) {
-        self.again.push(owner);
+    /// Schedules a call of this owner in the next turn, whether or not the poll reports it. If the owner is
+    /// closed before then and its token is reused, the new owner gets one spurious call.
+    pub fn requeue(&mut self, owner: Owner) {
+        self.requeued.push(owner);
     }
 
-    /// The owners to be called in this turn besides those that the poll reports.
-    pub fn take_again(&mut self) -> Vec<Owner> {
-        std::mem::take(&mut self.again)
+    /// Removes and returns the owners to be called in this turn in addition to those that the poll reports.
+    pub fn take_requeued(&mut self) -> Vec<Owner> {
+        std::mem::take(&mut self.requeued)
     }
 
-    /// The time until the earliest alarm; `None`: none is set.
+    /// The time until the earliest alarm; `None` if none is set.
     fn time_to_next_alarm(&self) -> Option<Duration> {
         let &Reverse(next) = self.alarms.peek()?;
         let left = next.due_at_micros as f64 / 1_000.0 - self.now();
@@ -216,28 +222,28 @@
 
     /// Waits for events, until the next alarm at most.
     pub fn wait(&mut self, events: &mut Events) -> io::Result<()> {
-        let timeout = if self.again.is_empty() { self.time_to_next_alarm() } else { Some(Duration::ZERO) };
+        let timeout = if self.requeued.is_empty() { self.time_to_next_alarm() } else { Some(Duration::ZERO) };
         let poll = &mut self.poll;
-        poll_to_the_end(timeout, |timeout| {
+        poll_until_timeout(timeout, |timeout| {
             poll.poll(events, timeout)?;
             Ok(if events.is_empty() { Polled::Nothing } else { Polled::Events })
         })
     }
 }
 
-/// What a poll has reported.
+/// Whether a poll reported events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Polled {
     Events,
     Nothing,
 }
 
-/// Polls until the timeout, so that whatever has come before it returns is reported: the alarms that are due are handled
-/// next.
+/// Polls until the timeout. Every event that arrives before this function returns is reported, because due
+/// alarms are handled right after it.
 ///
-/// A signal, or SIGCONT after a stop, interrupts a poll, which then reports nothing. A stop at the very moment of the
-/// timeout does not interrupt it, but it returns long after.
-fn poll_to_the_end(
+/// A signal, or SIGCONT after a stop, interrupts a poll, which then reports no events. A stop at the moment
+/// of the timeout does not interrupt it, but makes it return long after the timeout.
+fn poll_until_timeout(
     timeout: Option<Duration>,
     mut poll: impl FnMut(Option<Duration>) -> io::Result<Polled>,
 ) -> io::Result<()> {
--- a/crates/daemon/src/net/event_loop/connection.rs
+++ b/crates/daemon/src/net/event_loop/connection.rs
@@ -1,48 +1,48 @@
-//! A connection as the event loop drives it: the trait of its protocol, and the reading and writing between the callbacks.
+//! The trait that a connection's protocol implements, and the reading and writing between its callbacks.
 
 use crate::net::buffered_stream::{BufferedStream, StreamState};
 
-/// Bytes read from one connection in one turn of the loop. A peer that sends as fast as it is read would otherwise
-/// starve all other connections and the timers.
+/// Maximum number of bytes read from one connection in one turn of the event loop. Without it, a peer that
+/// sends as fast as it is read would starve all other connections and the alarms.
 const MAX_BYTES_PER_TURN: usize = 64 * 1024;
 
-/// What is done with a connection after a callback.
+/// What the event loop does with a connection after a callback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
     Keep,
-    /// Keep it, and drive it again in the next turn: more may wait to be read.
-    Again,
+    /// Keep the connection and drive it again in the next turn: there may be more to read.
+    Requeue,
     Close,
 }
 
-/// A connection's protocol: the callbacks that [`drive`] makes when the poll reports its socket. A callback reaches the rest
-/// of the scheduler through its context, `C`.
+/// A connection's protocol: the callbacks that [`drive`] makes when the poll reports its socket. The context
+/// `C` gives a callback access to the rest of the scheduler.
 pub trait Connection<C> {
-    /// Its socket with its buffers.
+    /// The connection's socket and buffers.
     fn stream(&mut self) -> &mut BufferedStream;
-    /// Whether it is being opened: [`Connection::on_open`] has not been called.
+    /// Whether the connection is still being opened: [`Connection::on_open`] has not been called yet.
     fn is_connecting(&self) -> bool {
         false
     }
-    /// It is connected.
+    /// The connection has been established.
     fn on_open(&mut self, _context: &mut C) -> Flow {
         Flow::Keep
     }
-    /// All output has been handed to the system.
+    /// All output has been written to the socket.
     fn on_written(&mut self, _context: &mut C) -> Flow {
         Flow::Keep
     }
-    /// There is new input in the buffer.
+    /// The input buffer has new bytes.
     fn on_input(&mut self, context: &mut C) -> Flow;
-    /// The peer has closed its sending half, or the connection is broken. Input that was read before has been passed to
-    /// `on_input`; the connection is closed after this.
+    /// The peer has closed its sending half, or the connection is broken. All input read before has been
+    /// passed to `on_input`. The connection is closed after this call.
     fn on_end(&mut self, context: &mut C);
-    /// Most bytes of input that are buffered before `on_input` consumes some.
+    /// Maximum number of input bytes that are buffered before `on_input` consumes some.
     fn max_input(&self) -> usize;
 }
 
-/// Opens a connection if it is ready to be, then writes its output and reads its input, and makes the callbacks for that:
-/// until the socket is drained, the input buffer is full, or the turn's share of bytes is read.
+/// Completes a pending connect if possible, then writes output and reads input with the callbacks for it,
+/// until the socket is drained, the input buffer is full, or [`MAX_BYTES_PER_TURN`] are read.
 pub fn drive<C>(connection: &mut dyn Connection<C>, context: &mut C) -> Flow {
     if connection.is_connecting() {
         match finish_connecting(connection, context) {
@@ -51,7 +51,7 @@
             Connecting::Closed => return Flow::Close,
         }
     }
-    // A failed write does not mean that there is no input: a response may wait to be read.
+    // After a failed write there may still be input to read, such as a response.
     let is_writable = connection.stream().flush().is_ok();
     let mut bytes_left = MAX_BYTES_PER_TURN;
     while bytes_left > 0 {
@@ -61,10 +61,10 @@
             Transfer::Closed => return Flow::Close,
         }
     }
-    Flow::Again
+    Flow::Requeue
 }
 
-/// Where a connection that is being opened stands.
+/// The progress of a connection that is being opened.
 enum Connecting {
     Open,
     Pending,
@@ -86,9 +86,9 @@
     Connecting::Open
 }
 
-/// How one round of reading and writing ended.
+/// The result of one round of reading and writing.
 enum Transfer {
-    /// More may wait to be read, and the poll does not report it again.
+    /// There may be more to read, which the poll does not report again.
     More {
         bytes_read: usize,
     },
@@ -97,7 +97,7 @@
     Closed,
 }
 
-/// Reads input once, of `max_bytes` at most, and writes what the callbacks add to the output.
+/// Reads up to `max_bytes` of input once, and writes the output that the callbacks add.
 fn read_and_write<C>(
     connection: &mut dyn Connection<C>,
     context: &mut C,
@@ -119,7 +119,7 @@
     if is_writable && flush_output(connection, context) == Flow::Close {
         return Transfer::Closed;
     }
-    // Reading or writing may have made room.
+    // The callbacks may have consumed input, so the buffer may have room again.
     if is_drained || is_input_full(connection) {
         return Transfer::Finished;
     }
@@ -130,8 +130,8 @@
     connection.stream().buffer.input().len() >= connection.max_input()
 }
 
-/// Writes a connection's output as far as the socket accepts it. When all is written it is called back, and what it adds is
-/// written too.
+/// Writes a connection's output as far as the socket accepts it. Calls `on_written` when all output is
+/// written, and writes the output that the callback adds.
 pub fn flush_output<C>(connection: &mut dyn Connection<C>, context: &mut C) -> Flow {
     loop {
         match connection.stream().flush() {
--- a/crates/daemon/src/net/events.rs
+++ b/crates/daemon/src/net/events.rs
@@ -1,4 +1,4 @@
-//! Hands socket events and alarms to the parts that they are for.
+//! Dispatches socket events and alarms to the components that handle them.
 
 use super::event_loop::{Alarm, Millis, Owner};
 use super::job_failover::JobFailover;
@@ -7,22 +7,22 @@
 use super::zone_routing;
 use slog::info;
 
-/// Time between two sweeps of idle connections.
+/// Interval at which all connections are checked for timeouts.
 pub(super) const SWEEP_INTERVAL: Millis = 250.0;
-/// Time between two log events with the counters.
+/// Interval at which the counters are logged.
 pub(super) const COUNTERS_INTERVAL: Millis = 30_000.0;
-/// Time between two handlings of failover's timeouts and links.
+/// Interval at which failover's timeouts and the links to other schedulers are handled.
 const FAILOVER_INTERVAL: Millis = 20.0;
 
 impl Scheduler<'_> {
-    /// The poll reports an event, or an owner has more to read than its last turn allowed.
+    /// Handles a readiness event, or a requeued owner that has more to read than its last turn allowed.
     pub(super) fn on_event(&mut self, owner: Owner) {
         let cx = &mut context!(self);
         match owner {
             Owner::Listener => self.frontend.accept(cx),
-            Owner::Frontend(at) => self.frontend.on_ready(at, cx),
-            Owner::Backend(at) => self.backend.on_ready(at, cx),
-            Owner::Discovery(at) => self.discovery.on_ready(at, cx),
+            Owner::Frontend(slot) => self.frontend.on_ready(slot, cx),
+            Owner::Backend(slot) => self.backend.on_ready(slot, cx),
+            Owner::Discovery(slot) => self.discovery.on_ready(slot, cx),
             Owner::AdminListener | Owner::AdminClient(_) => self.on_admin_event(owner),
             Owner::Peer => self.on_peer_datagrams(),
             Owner::PeerLinkListener | Owner::PeerLink(_) => self.on_peer_link_event(owner),
@@ -35,10 +35,10 @@
         let Some(admin) = &mut self.admin else { return };
         let closed_idle_connections = cx.drain.closes_idle_connections();
         match owner {
-            Owner::AdminClient(at) => admin.on_ready(at, cx),
+            Owner::AdminClient(slot) => admin.on_ready(slot, cx),
             _ => admin.accept(cx),
         }
-        // Idle connections close as soon as the drain begins.
+        // Idle connections are closed as soon as a drain begins, without waiting for the next sweep.
         if cx.drain.closes_idle_connections() && !closed_idle_connections {
             self.frontend.close_all_idle(cx);
         }
@@ -59,12 +59,12 @@
         let cx = &mut context!(self);
         let Some(links) = &mut self.peer_links else { return };
         match owner {
-            Owner::PeerLink(at) => links.on_ready(at, cx),
+            Owner::PeerLink(slot) => links.on_ready(slot, cx),
             _ => links.accept(cx),
         }
     }
 
-    /// An alarm is due.
+    /// Handles an alarm that is due.
     pub(super) fn on_alarm(&mut self, alarm: Alarm) {
         let cx = &mut context!(self);
         match alarm {
@@ -85,7 +85,7 @@
             Alarm::ZoneRouting => self.on_zone_routing_alarm(),
             Alarm::JobFailover => self.on_job_failover_alarm(),
             Alarm::Shutdown => self.on_shutdown_alarm(),
-            Alarm::AnswerAll => cx.engine.fail_pending(self.frontend.retry_after()),
+            Alarm::FailPendingJobs => cx.engine.fail_pending(self.frontend.retry_after()),
         }
     }
 
@@ -144,8 +144,8 @@
         cx.event_loop.set_alarm(cx.now + FAILOVER_INTERVAL, Alarm::JobFailover);
     }
 
-    /// Transfers unsent jobs and closes idle connections. At its time and not at the next sweep: a request that comes
-    /// later may be cut off by SIGKILL.
+    /// Transfers unsent jobs and closes idle connections. This can't wait for the next sweep: a request
+    /// received later might be cut off by SIGKILL.
     fn on_shutdown_alarm(&mut self) {
         let cx = &mut context!(self);
         let transferred = cx.job_failover.as_mut().map_or(0, JobFailover::transfer_all);
--- a/crates/daemon/src/net/frontend/accept.rs
+++ b/crates/daemon/src/net/frontend/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections.
+//! Accepts client connections.
 
 use super::Frontend;
 use super::connection::ClientConnection;
@@ -10,11 +10,12 @@
 use std::io;
 use std::rc::Rc;
 
-/// Time until accepting is tried again, after it failed or while no connection may be evicted for a new one.
+/// Delay before accepting is retried after an error, or when all connections are in use and none may be
+/// evicted.
 const ACCEPT_RETRY_DELAY: Millis = 20.0;
 
 impl Frontend {
-    /// Accepts the connections that wait at the listener.
+    /// Accepts all connections that wait at the listener, evicting others where necessary.
     pub fn accept(&mut self, cx: &mut Context) {
         self.is_retry_scheduled = false;
         loop {
@@ -36,7 +37,8 @@
         }
     }
 
-    /// Makes room and schedules a retry: trying at once would spin. Of errors in a row the first one is logged.
+    /// Evicts a connection and schedules a retry; retrying at once would be a busy loop. Only the first of
+    /// consecutive errors is logged.
     fn on_accept_error(&mut self, error: &io::Error, cx: &mut Context) {
         if !std::mem::replace(&mut self.is_accept_failing, true) {
             warn!(cx.log, "accept_failed"; "error" => %error);
--- a/crates/daemon/src/net/frontend/admission.rs
+++ b/crates/daemon/src/net/frontend/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are admitted as jobs, and what the engine is given of them.
+//! Admission rules, and the conversion of request heads to the engine's job requests.
 
 use super::connection::RequestKind;
 use crate::net::event_loop::Millis;
@@ -8,19 +8,20 @@
 use brackenledge_protocol::http::{RequestError, RequestHead};
 use brackenledge_protocol::job_head::{ClassRule, JobHead, JobRules};
 
-/// The `Retry-After` of rejections for too many open jobs or a shutdown, at most.
+/// Maximum `Retry-After` of rejections because of too many open jobs, a drain or a shutdown.
 const OVERLOAD_RETRY_AFTER: Millis = 500.0;
 
-/// The classes and tenants of the settings, and the limits that apply before the policy sees a job.
+/// The classes and tenants of the settings, and the limits that apply before a job reaches the policy.
 pub struct AdmissionRules {
     pub(super) job_rules: JobRules,
-    /// By class.
+    /// Maximum time from receipt to response, by class.
     pub(super) deadlines: Vec<Millis>,
     /// By class.
     pub(super) effects: Vec<Effect>,
-    /// Jobs that clients may wait for at the same time.
+    /// Maximum number of jobs that clients wait for at the same time.
     pub(super) max_open_jobs: usize,
-    /// The `Retry-After` of clients that are rejected before the policy sees their jobs.
+    /// `Retry-After` of jobs that are rejected before they reach the policy; `None` if the settings disable
+    /// the header.
     pub(super) retry_after: Option<Millis>,
 }
 
@@ -37,7 +38,7 @@
         }
     }
 
-    /// What a request asks for, by its head.
+    /// Determines from a request's head whether it is a health check or a job.
     pub(super) fn read_kind(
         &self,
         client: ClientId,
@@ -50,7 +51,7 @@
         Ok(RequestKind::Job(Box::new(self.job_request(client, head.target, &job_head))))
     }
 
-    /// The job that a request's head describes; its body comes later.
+    /// The job that a request's head describes. The body is added when it has been received.
     fn job_request(&self, client: ClientId, target: &str, head: &JobHead) -> JobRequest {
         JobRequest {
             client,
@@ -73,7 +74,7 @@
             class: head.class,
             tenant: head.tenant,
             affinity_key: head.affinity_key.map(str::to_owned),
-            // Nobody waits longer than the class's deadline, whatever the client states.
+            // The class's deadline is the upper limit, whatever the client states.
             time_left: head.expires_in.unwrap_or(f64::INFINITY).min(self.deadlines[head.class]),
             expected_run_time: head.size_hint_micros.map(|micros| micros / 1_000.0),
             slots: head.resources.slots,
--- a/crates/daemon/src/net/frontend/connection.rs
+++ b/crates/daemon/src/net/frontend/connection.rs
@@ -1,4 +1,4 @@
-//! A client's connection: its state, and its callbacks from the event loop.
+//! A client connection: its state and its event-loop callbacks.
 
 use super::admission::AdmissionRules;
 use crate::net::Context;
@@ -11,62 +11,63 @@
 use std::net::Shutdown;
 use std::rc::Rc;
 
-/// Input that is buffered at most behind a request that waits for its response, in bytes.
+/// Maximum input in bytes that is buffered after a request whose response is pending.
 pub(super) const MAX_PIPELINED_INPUT: usize = 8 * 1024;
-/// Input that is read and discarded at most before a connection is closed while its client still sends, in bytes.
+/// Maximum input in bytes that is read and discarded after the last response before the connection is closed.
 const MAX_DISCARDED_INPUT: usize = 1024 * 1024;
 
-/// What a request asks for, by its head.
+/// The kind of a request, determined by its head.
 pub(super) enum RequestKind {
     Job(Box<JobRequest>),
     /// `GET /up`.
     HealthCheck,
 }
 
-/// Where a connection stands with its current request.
+/// The state of a connection's current request.
 pub(super) enum State {
     /// Between requests, or reading a request's head.
     ReadingHead,
     /// Reading a request's body.
     ReadingBody(RequestKind, Body),
-    /// The engine runs the job; its answer is awaited.
+    /// The engine runs the job, and its answer is pending.
     AwaitingJob(JobId),
-    /// The job is replicated: failover's answer is awaited, wherever the job runs.
+    /// The job is replicated: failover's answer is pending, whichever scheduler runs the job.
     AwaitingReplicatedJob(Waiter),
-    /// The last response is being written, and input is discarded.
+    /// The last response is being written, or the client has yet to close. Input is discarded.
     Closing,
 }
 
-/// A client's connection. It carries one request at a time.
+/// A client connection. It carries one request at a time.
 pub(super) struct ClientConnection {
     pub(super) stream: BufferedStream,
     pub(super) id: ClientId,
     pub(super) rules: Rc<AdmissionRules>,
     pub(super) state: State,
-    /// When the last response was written, or the connection was accepted.
+    /// When the last response was buffered; before the first one, when the connection was accepted.
     pub(super) last_response_at: Millis,
-    /// When reading of the request that is being received began.
+    /// When decoding of the request that is being received began; `None` between requests.
     pub(super) request_began_at: Option<Millis>,
     /// When bytes were last received.
     pub(super) last_input_at: Millis,
-    /// When the first bytes of the request that is being received, or that waits for the response to the one before it,
-    /// were received. The time that a request states runs from then.
+    /// When the first bytes of the next request were received, also if it waits for the response to the
+    /// previous one. The time left that a request states counts from then. `None` while nothing of it has
+    /// been received.
     pub(super) receiving_since: Option<Millis>,
     /// Bytes read and discarded since the last response.
     pub(super) discarded: usize,
-    /// More than [`MAX_PIPELINED_INPUT`] came behind a request: none of it is read as the next request.
+    /// [`MAX_PIPELINED_INPUT`] or more was received after a request. None of it is read as the next request.
     pub(super) input_overflowed: bool,
     /// The sending half of the socket has been shut down.
     pub(super) write_closed: bool,
     pub(super) keep_alive: bool,
-    /// A whole request has been received before.
+    /// The client has sent a complete request.
     pub(super) has_sent_request: bool,
-    /// One of those was a job.
+    /// The client has sent a complete job.
     pub(super) has_sent_job: bool,
 }
 
 impl ClientConnection {
-    /// A connection that has just been accepted.
+    /// Creates the state of a newly accepted connection.
     pub(super) fn new(stream: BufferedStream, id: ClientId, rules: Rc<AdmissionRules>, now: Millis) -> Self {
         ClientConnection {
             stream,
@@ -86,13 +87,13 @@
         }
     }
 
-    /// Whether it is between requests, with nothing to read or to write.
+    /// Whether the connection is between requests, with no buffered input or output.
     pub(super) fn is_idle(&self) -> bool {
         let buffer = &self.stream.buffer;
         matches!(self.state, State::ReadingHead) && buffer.input().is_empty() && buffer.output().is_empty()
     }
 
-    /// Abandons its open job, if there is one, with the engine or with failover.
+    /// Tells the engine or failover that the client no longer waits for its open job, if there is one.
     pub(super) fn abandon_job(&self, cx: &mut Context) {
         match (&self.state, &mut *cx.job_failover) {
             (State::AwaitingJob(job), _) => cx.engine.abandon_job(*job),
@@ -114,12 +115,13 @@
             && self.stream.buffer.output().is_empty()
             && !self.write_closed
         {
-            // Only once: each shutdown, even of the same half again, makes the poll report the socket anew.
+            // Only once: each shutdown, even a repeated one, makes the poll report the socket again.
             self.write_closed = true;
-            // Closing with input unread would reset the connection, maybe before the response was read.
+            // Closing the socket with unread input would reset the connection, possibly before the client has
+            // read the response.
             let _ = self.stream.socket.shutdown(Shutdown::Write);
         }
-        // There is room now for the responses to requests that have already come.
+        // The output buffer has room again for responses to requests that are already in the input buffer.
         self.read_requests(cx);
         Flow::Keep
     }
@@ -127,14 +129,16 @@
     fn on_input(&mut self, cx: &mut Context) -> Flow {
         self.last_input_at = cx.now;
         self.read_requests(cx);
-        // Input is read and discarded so that the client gets its last response, and its disconnect is seen here, but
-        // not for ever. As long as its job is open it is owed the response, however much it sends.
+        // Input is discarded after the last response so that the client can read it and its disconnect is
+        // noticed. The limit applies only then: while a job is open, the client gets its response however
+        // much it sends.
         let over_limit = matches!(self.state, State::Closing) && self.discarded > MAX_DISCARDED_INPUT;
         if over_limit { Flow::Close } else { Flow::Keep }
     }
 
-    // A client that ends its sending has gone: a close and a half-close look the same from here, and a job whose client
-    // has gone must not be retried. What that means for its job is handled by `Frontend::remove`, as for any other end.
+    // A client that closes its sending half counts as disconnected: a close and a half-close can't be told
+    // apart, and a job whose client has disconnected must not be retried. `Frontend::remove` abandons the
+    // job, as for any other end.
     fn on_end(&mut self, _: &mut Context) {}
 
     fn max_input(&self) -> usize {
--- a/crates/daemon/src/net/frontend/eviction.rs
+++ b/crates/daemon/src/net/frontend/eviction.rs
@@ -1,27 +1,27 @@
-//! Which client's connection is closed where a new one needs its place.
+//! Selects the client connection that is closed to make room for a new one.
 
 use super::Frontend;
 use super::connection::{ClientConnection, State};
 use crate::net::Context;
 use crate::net::event_loop::Millis;
 
-/// A first request that is incomplete for this long may be evicted.
+/// A connection whose first request is still incomplete this long after it was accepted may be evicted.
 const STALL_TIMEOUT: Millis = 500.0;
 
-/// Why a connection may be evicted. The first class that has a connection is evicted first.
+/// Why a connection may be evicted, in the order of eviction.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum EvictionClass {
     /// Its last response has been written.
     Closing,
-    /// It has never sent anything. Some clients open hundreds of these.
+    /// Nothing was received within [`STALL_TIMEOUT`] of accepting it. Some clients open hundreds of these.
     Silent,
-    /// Its first request is incomplete for longer than [`STALL_TIMEOUT`].
+    /// Its first request was not complete within [`STALL_TIMEOUT`].
     Stalled,
     /// It is between requests, and none so far was a job.
     NeverSentJob,
-    /// It is between requests: its next one comes on a new connection then.
+    /// It is between requests. If it is evicted, the client sends its next request on a new connection.
     Idle,
-    /// It was accepted just now, and its first request is most likely on the way.
+    /// It was accepted less than [`STALL_TIMEOUT`] ago, so its first request is most likely on the way.
     Fresh,
 }
 
@@ -29,12 +29,12 @@
 struct EvictionCandidate {
     slot: usize,
     class: EvictionClass,
-    /// When its last response was written, or it was accepted. Of one class, the oldest is evicted first.
+    /// When its last response was buffered, or it was accepted. Within a class the oldest is evicted first.
     since: Millis,
 }
 
 impl ClientConnection {
-    /// Why it may be evicted now; `None` if it may not.
+    /// Why the connection may be evicted now; `None` if it may not.
     fn eviction_class(&self, now: Millis) -> Option<EvictionClass> {
         let is_written = self.stream.buffer.output().is_empty();
         let stalls_at = self.last_response_at + STALL_TIMEOUT;
@@ -56,7 +56,7 @@
 }
 
 impl Frontend {
-    /// Evicts one connection; returns whether there was one.
+    /// Tries to evict one connection. Returns whether one was closed.
     pub(super) fn make_room(&mut self, cx: &mut Context) -> bool {
         let candidates = self.clients.iter().filter_map(|(slot, client)| {
             let class = client.eviction_class(cx.now)?;
@@ -73,7 +73,8 @@
         }
     }
 
-    /// Closes an idle connection, unless a request has come on it meanwhile.
+    /// Closes an idle connection, unless reading it first finds a request. Returns whether it was closed
+    /// here.
     pub(super) fn close_idle(&mut self, slot: usize, cx: &mut Context) -> bool {
         self.on_ready(slot, cx);
         let is_idle = self.clients.get(slot).is_some_and(ClientConnection::is_idle);
--- a/crates/daemon/src/net/frontend/mod.rs
+++ b/crates/daemon/src/net/frontend/mod.rs
@@ -1,17 +1,17 @@
-//! The clients' side: reads jobs from HTTP requests, and writes the responses.
+//! The client side: reads jobs from HTTP requests and writes the responses.
 //!
-//! **Invariant.** A connection carries one request at a time, and ends only in [`Frontend::remove`], which abandons the
-//! job that is open on it.
+//! **Invariant.** A connection carries one request at a time, and is closed only by [`Frontend::remove`],
+//! which abandons its open job.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `accept` | accepts connections |
 //! | `connection` | a connection's state and its callbacks |
 //! | `request_reader` | reads requests and submits the jobs in them |
-//! | `admission` | which requests are admitted as jobs |
+//! | `admission` | admission rules, and jobs from request heads |
 //! | `responses` | writes responses |
-//! | `eviction` | which connection gives way to a new one |
-//! | `timeouts` | ends what has taken too long |
+//! | `eviction` | selects the connection that is closed for a new one |
+//! | `timeouts` | request, linger and unread output timeouts |
 
 mod accept;
 mod admission;
@@ -33,20 +33,20 @@
 use slab::Slab;
 use std::rc::Rc;
 
-/// The listener and all clients' connections.
+/// The listener and all client connections.
 pub struct Frontend {
     listener: TcpListener,
     rules: Rc<AdmissionRules>,
     clients: Slab<ClientConnection>,
     max_clients: usize,
-    /// An alarm is set to accept again.
+    /// Whether an alarm is set to retry accepting.
     is_retry_scheduled: bool,
-    /// The last accept failed, and that has been logged.
+    /// Whether the last accept failed. Its error has been logged.
     is_accept_failing: bool,
 }
 
 impl Frontend {
-    /// `max_clients`: connections that may be open at the same time.
+    /// `max_clients`: maximum number of open client connections.
     pub fn new(listener: TcpListener, rules: AdmissionRules, max_clients: usize) -> Self {
         Frontend {
             listener,
@@ -58,22 +58,23 @@
         }
     }
 
-    /// The `Retry-After` of clients that are rejected for other reasons than the policy's.
+    /// `Retry-After` of rejections that the policy does not decide; `None` if the settings disable the
+    /// header.
     pub fn retry_after(&self) -> Option<Millis> {
         self.rules.retry_after
     }
 
-    /// Handles what the poll reports of a client's connection.
+    /// Handles a readiness event of a client connection.
     pub fn on_ready(&mut self, slot: usize, cx: &mut Context) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         match drive(client, cx) {
             Flow::Keep => {}
-            Flow::Again => cx.event_loop.call_again(Owner::Frontend(slot)),
+            Flow::Requeue => cx.event_loop.requeue(Owner::Frontend(slot)),
             Flow::Close => self.remove(slot, cx),
         }
     }
 
-    /// Responds to the client of a job, unless it has gone; another may have its slot by now.
+    /// Responds to the client of a job, unless it has disconnected. Its slot may have been reused by then.
     pub fn answer(&mut self, slot: ClientId, job: JobId, answer: Answer, cx: &mut Context) {
         let Some(client) = self.clients.get_mut(slot) else { return };
         if !matches!(client.state, State::AwaitingJob(open) if open == job) {
@@ -82,7 +83,7 @@
         self.respond(slot, answer, cx);
     }
 
-    /// Responds to the client of a replicated job, unless it has gone.
+    /// Responds to the client of a replicated job, unless it has disconnected.
     pub fn answer_replicated(&mut self, slot: ClientId, waiter: Waiter, answer: Answer, cx: &mut Context) {
         let Some(client) = self.clients.get(slot) else { return };
         if matches!(client.state, State::AwaitingReplicatedJob(open) if open == waiter) {
@@ -93,7 +94,7 @@
     fn respond(&mut self, slot: ClientId, answer: Answer, cx: &mut Context) {
         let client = &mut self.clients[slot];
         client.respond(answer, cx);
-        // The next request may have come already, which the poll won't report again.
+        // The next request may already be buffered; the poll does not report it again.
         client.read_requests(cx);
         self.on_ready(slot, cx);
     }
@@ -107,14 +108,15 @@
         }
     }
 
-    /// Whether a client is owed a response or may still be sending. One that has got its last response and not closed its
-    /// side yet may have more on the way: with that unread, the end of the process would reset the connection, maybe
-    /// before the response was read. The linger timeout is for that.
+    /// Whether any client waits for a response or may still be sending. A client that has got its last
+    /// response but not closed its side may still have data in flight. If the process exited with that
+    /// unread, the connection would be reset, possibly before the client has read the response. The linger
+    /// timeout limits the wait for such clients.
     pub fn has_unfinished_clients(&self) -> bool {
         self.clients.iter().any(|(_, client)| !client.is_idle())
     }
 
-    /// Closes a connection, and abandons the job that is open on it.
+    /// Closes a connection and abandons its open job.
     fn remove(&mut self, slot: usize, cx: &mut Context) {
         let mut client = self.clients.remove(slot);
         client.abandon_job(cx);
--- a/crates/daemon/src/net/frontend/request_reader.rs
+++ b/crates/daemon/src/net/frontend/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reads requests from a client's connection, and submits the jobs in them.
+//! Reads requests from a client connection and submits the jobs in them.
 
 use super::connection::{ClientConnection, MAX_PIPELINED_INPUT, RequestKind, State};
 use crate::net::Context;
@@ -6,13 +6,13 @@
 use brackenledge_engine::{Answer, JobRequest};
 use brackenledge_protocol::http::{Body, CONTINUE, MAX_BODY_BYTES, RequestError, RequestHead};
 
-/// Responses that wait to be written, in bytes, beyond which no further request is read.
+/// Size of unwritten responses in bytes above which no further request is read.
 const MAX_BUFFERED_OUTPUT: usize = 2 * MAX_BODY_BYTES;
 
-/// What the head of a request says.
+/// The decoded head of a request.
 struct ReceivedHead {
     kind: RequestKind,
-    /// The body's framing. An error in it is reported only where `kind` could be read: errors there take precedence.
+    /// The body's framing. Errors in the rest of the head take precedence over an error in it.
     body: Result<Body, RequestError>,
     keep_alive: bool,
     expects_continue: bool,
@@ -20,7 +20,8 @@
 }
 
 impl ClientConnection {
-    /// Reads requests as far as they have come. It stops at a job: the next request waits for the response.
+    /// Reads the received requests. Stops after a job: the next request is read when the job has been
+    /// answered.
     pub(super) fn read_requests(&mut self, cx: &mut Context) {
         loop {
             match &mut self.state {
@@ -46,8 +47,9 @@
         }
     }
 
-    /// Keeps what comes behind a request until the response is written. If it is too much, none of it is read as a
-    /// request any more: reading must go on, or the client's disconnect, which comes behind it, would not be seen.
+    /// Buffers the input that follows a request until the response is written. If it reaches
+    /// [`MAX_PIPELINED_INPUT`], it is discarded and no longer read as requests: reading must continue, or the
+    /// client's disconnect, which follows that input, would not be noticed.
     fn buffer_pipelined_input(&mut self) {
         if !self.stream.buffer.input().is_empty() {
             self.receiving_since.get_or_insert(self.last_input_at);
@@ -65,14 +67,15 @@
         self.discarded += length;
     }
 
-    /// Reads a head; returns whether there is more to do.
+    /// Reads a head. Returns whether the state has changed, so that reading goes on.
     fn read_head(&mut self, cx: &mut Context) -> bool {
         let input = self.stream.buffer.input();
-        // A client that sends on without reading its responses must not fill the memory with them.
+        // A client that keeps sending without reading its responses must not exhaust the memory.
         if input.is_empty() || self.stream.buffer.output().len() > MAX_BUFFERED_OUTPUT {
             return false;
         }
-        // One byte now and then must not keep an unfinished request for ever: its time runs from the first.
+        // The request timeout counts from the first byte, so that a client that sends single bytes slowly
+        // does not keep an incomplete request open forever.
         self.request_began_at.get_or_insert(cx.now);
         self.receiving_since.get_or_insert(self.last_input_at);
         match self.decode_head() {
@@ -83,7 +86,7 @@
         true
     }
 
-    /// Decodes a head; `None`: it has not all come.
+    /// Decodes a head; `None` if it has not been received completely.
     fn decode_head(&self) -> Result<Option<ReceivedHead>, RequestError> {
         let Some(head) = RequestHead::decode(self.stream.buffer.input())? else { return Ok(None) };
         let RequestHead { keep_alive, expects_continue, length, .. } = head;
@@ -129,12 +132,14 @@
         }
     }
 
-    /// Whether a job that is complete now is admitted: not with too many open, nor late in a drain or a shutdown.
+    /// Whether a job received now is admitted: not with too many open jobs, nor late in a drain or a
+    /// shutdown.
     fn admits_jobs(&self, cx: &Context) -> bool {
         cx.pending_jobs() < self.rules.max_open_jobs && cx.drain.admits_jobs(cx.now) && cx.time_left() != 0.0
     }
 
-    /// `elapsed`: the time since the first bytes of the request were received; the job has that much less.
+    /// `elapsed`: time since the first bytes of the request were received. It is deducted from the job's time
+    /// left.
     fn submit_job(&mut self, mut job_request: Box<JobRequest>, elapsed: Millis, cx: &mut Context) {
         job_request.job.time_left = (job_request.job.time_left - elapsed).max(0.0).min(cx.time_left());
         if let Some(job_failover) =
--- a/crates/daemon/src/net/frontend/responses.rs
+++ b/crates/daemon/src/net/frontend/responses.rs
@@ -1,4 +1,4 @@
-//! Writes responses to a client's connection.
+//! Writes responses to a client connection.
 
 use super::connection::{ClientConnection, State};
 use crate::net::Context;
@@ -6,7 +6,7 @@
 use brackenledge_engine::Answer;
 use brackenledge_protocol::http::{ClientResponseHead, RequestError};
 
-/// A response before it is known whether the connection is kept.
+/// A response without the headers that depend on the connection.
 struct Response<'a> {
     status: u16,
     retry_after: Option<Millis>,
@@ -33,7 +33,8 @@
         self.write_response(&response, cx);
     }
 
-    /// Writes the response to `GET /up`: 200 while this scheduler is in rotation and knows where to send jobs.
+    /// Writes the response to `GET /up`: 200 while this scheduler is in rotation and has an endpoint list to
+    /// serve from.
     pub(super) fn respond_to_health_check(&mut self, cx: &Context) {
         let (status, body): (u16, &[u8]) = if cx.shutdown.is_some() {
             (503, b"stopping\n")
@@ -47,8 +48,8 @@
         self.write_response(&Response::new(status, body), cx);
     }
 
-    /// Rejects a request that can't be read or served, and closes the connection: where the next request would begin is
-    /// unknown, and a request hidden behind a malformed one must not pass.
+    /// Rejects a request that can't be read or served, and closes the connection. The start of the next
+    /// request is unknown, and a request smuggled behind a malformed one must not be accepted.
     pub(super) fn reject(&mut self, error: RequestError, cx: &Context) {
         self.keep_alive = false;
         let body = format!("{error}\n");
@@ -56,7 +57,7 @@
         self.write_response(&Response { content_type: Some("text/plain"), ..response }, cx);
     }
 
-    /// Buffers a response.
+    /// Buffers a response, and decides whether the connection is kept open after it.
     fn write_response(&mut self, response: &Response, cx: &Context) {
         self.keep_alive &= !cx.is_closing_connections() && cx.drain.keeps_connections();
         let head = ClientResponseHead {
--- a/crates/daemon/src/net/frontend/tests.rs
+++ b/crates/daemon/src/net/frontend/tests.rs
@@ -1,4 +1,4 @@
-//! What heads of requests give, from the bytes to the job that is submitted.
+//! Request heads, from the bytes to the job that is submitted.
 
 #[path = "../../../../protocol/tests/common/request_heads.rs"]
 mod request_heads;
@@ -8,7 +8,7 @@
 use brackenledge_engine::JobRequest;
 use request_heads::{CLASSES, JobValues, check, job_rules};
 
-/// Without a limit on deadlines and open jobs.
+/// Rules without limits on deadlines and open jobs.
 fn rules() -> AdmissionRules {
     AdmissionRules {
         job_rules: job_rules(),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn each_head_gives_what_its_table_says() {
+fn each_request_head_gives_the_expected_job_or_error() {
     check(|head| match rules().read_kind(0, head)? {
         RequestKind::HealthCheck => Ok("health check".to_owned()),
         RequestKind::Job(submitted) => Ok(describe(&submitted)),
--- a/crates/daemon/src/net/frontend/timeouts.rs
+++ b/crates/daemon/src/net/frontend/timeouts.rs
@@ -1,4 +1,4 @@
-//! Timeouts of clients' connections.
+//! Timeouts of client connections.
 
 use super::Frontend;
 use super::connection::{ClientConnection, State};
@@ -6,12 +6,14 @@
 use crate::net::event_loop::Millis;
 use brackenledge_protocol::http::RequestError;
 
-/// A client's first request must be complete this long after it connected, and later ones this long after their first
-/// byte. A client that has sent nothing at all until then is closed: connections are few.
+/// Time within which a client's first request must be complete, counted from accepting the connection, and
+/// each later request, counted from its first byte. A connection without any input by then is closed, because
+/// the number of connections is limited.
 const REQUEST_TIMEOUT: Millis = 2_000.0;
-/// A client that leaves output unread for this long won't read it.
+/// A client that has not read its response within this time is assumed never to read it.
 const UNREAD_OUTPUT_TIMEOUT: Millis = 5_000.0;
-/// A connection that is being closed may still send for this long, so that its client reads the last response.
+/// How long a connection stays open after its last response is written, so that the client can read that
+/// response while it still sends.
 const LINGER_TIMEOUT: Millis = 1_000.0;
 
 impl ClientConnection {
@@ -29,26 +31,27 @@
         }
     }
 
-    fn has_lingered(&self, now: Millis) -> bool {
+    fn has_linger_expired(&self, now: Millis) -> bool {
         matches!(self.state, State::Closing)
             && self.stream.buffer.output().is_empty()
             && now >= self.last_response_at + LINGER_TIMEOUT
     }
 
     fn has_timed_out(&self, now: Millis) -> bool {
-        self.is_request_late(now) || self.has_lingered(now) || self.is_output_unread(now)
+        self.is_request_late(now) || self.has_linger_expired(now) || self.is_output_unread(now)
     }
 }
 
 impl Frontend {
-    /// Ends what has taken too long: incomplete requests, output that is not read, and connections being closed.
+    /// Handles timeouts: rejects incomplete requests, and closes connections whose output is not read, that
+    /// lingered after the last response, or that never sent anything.
     pub fn sweep(&mut self, cx: &mut Context) {
         let now = cx.now;
         let timed_out = self.clients.iter().filter(|(_, client)| client.has_timed_out(now));
         let timed_out: Vec<usize> = timed_out.map(|(slot, _)| slot).collect();
         for slot in timed_out {
             let client = &mut self.clients[slot];
-            // A client that has sent nothing is owed no response, nor is one that does not read.
+            // No response is due to a client that has sent nothing, or that does not read.
             if client.request_began_at.is_none() || client.is_output_unread(now) {
                 self.remove(slot, cx);
             } else {
--- a/crates/daemon/src/net/listener.rs
+++ b/crates/daemon/src/net/listener.rs
@@ -1,4 +1,4 @@
-//! TCP listeners: how they are bound, and how connections are accepted on them.
+//! Binds TCP listeners and accepts connections on them.
 
 use mio::net::{TcpListener, TcpStream};
 use socket2::{Domain, Socket, Type};
@@ -8,19 +8,20 @@
 #[cfg(test)]
 mod tests;
 
-/// Most connections that wait to be accepted: many new clients may come at once.
+/// Maximum number of connections that wait to be accepted: many new clients may connect at once.
 const LISTEN_BACKLOG: i32 = 1_024;
 
-/// Whether another process may listen on the same address.
+/// Whether other processes may listen on the same address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sharing {
-    /// This process alone.
+    /// Only this process may listen.
     Exclusive,
-    /// SO_REUSEPORT: a process that replaces this one may listen beside it, so that both are reached while both run.
+    /// Sets SO_REUSEPORT: a process that replaces this one may listen as well, and while both run, both get
+    /// connections.
     Shared,
 }
 
-/// A listener on `address` that does not block.
+/// Opens a non-blocking listener on `address`.
 pub fn listen(address: SocketAddr, sharing: Sharing) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
@@ -28,15 +29,16 @@
         socket.set_reuse_port(true)?;
     }
     socket.set_nonblocking(true)?;
-    // Small messages must not wait for one another. Connections inherit it, so that none is without it for a moment.
+    // Disables Nagle's algorithm, which would delay small messages. Accepted connections inherit the option,
+    // so that it applies to them from the start.
     socket.set_tcp_nodelay(true)?;
     socket.bind(&address.into())?;
     socket.listen(LISTEN_BACKLOG)?;
     Ok(TcpListener::from_std(socket.into()))
 }
 
-/// Accepts the next connection that waits. `None`: none does. After an error, mostly for want of file descriptors, the
-/// connections go on waiting, and the poll does not report them again.
+/// Accepts the next waiting connection; `None` if there is none. After an error, usually a lack of file
+/// descriptors, connections remain in the backlog and the poll does not report them again.
 pub fn accept_next(listener: &TcpListener) -> io::Result<Option<TcpStream>> {
     loop {
         match listener.accept() {
--- a/crates/daemon/src/net/listener/tests.rs
+++ b/crates/daemon/src/net/listener/tests.rs
@@ -1,6 +1,7 @@
 use super::*;
 
-/// The kernel may hold a connection open for a while before it is accepted, and this program before it is handled.
+/// Guards against an option that is set only after accepting: the connection may be open for a while before
+/// it is accepted and handled.
 #[test]
 fn an_accepted_connection_has_tcp_nodelay_set_from_the_first() {
     for sharing in [Sharing::Exclusive, Sharing::Shared] {
--- a/crates/daemon/src/net/mod.rs
+++ b/crates/daemon/src/net/mod.rs
@@ -58,8 +58,8 @@
     loop {
         scheduler.event_loop.wait(&mut events).map_err(StartError::Poll)?;
         let polled_at = scheduler.event_loop.now();
-        let again = scheduler.event_loop.take_again();
-        for owner in events.iter().map(|event| Owner::of(event.token())).chain(again) {
+        let requeued = scheduler.event_loop.take_requeued();
+        for owner in events.iter().map(|event| Owner::of(event.token())).chain(requeued) {
             scheduler.on_event(owner);
             scheduler.execute_commands();
         }
--- a/crates/daemon/src/net/peer_links.rs
+++ b/crates/daemon/src/net/peer_links.rs
@@ -203,7 +203,7 @@
         }
         match flow {
             Flow::Keep => {}
-            Flow::Again => cx.event_loop.call_again(Owner::PeerLink(at)),
+            Flow::Requeue => cx.event_loop.requeue(Owner::PeerLink(at)),
             Flow::Close => self.close(at, cx),
         }
     }
--- a/crates/daemon/src/net/scheduler.rs
+++ b/crates/daemon/src/net/scheduler.rs
@@ -30,7 +30,7 @@
     pub(super) event_loop: &'a mut EventLoop,
     pub(super) log: &'a Logger,
     /// Until when pooled connections are not trusted.
-    pub(super) distrust_until: &'a mut Millis,
+    pub(super) reuse_suspended_until: &'a mut Millis,
     /// The graceful shutdown, once SIGTERM has come.
     pub(super) shutdown: Option<Shutdown>,
     /// Whether the operators have taken this scheduler out of rotation.
@@ -90,7 +90,7 @@
     /// The graceful shutdown, once SIGTERM has come.
     pub(super) shutdown: Option<Shutdown>,
     /// Until when pooled connections are not trusted.
-    pub(super) distrust_until: Millis,
+    pub(super) reuse_suspended_until: Millis,
     pub(super) log: Logger,
 }
 
@@ -105,7 +105,7 @@
             placement_names: &$scheduler.placement_names,
             event_loop: &mut $scheduler.event_loop,
             log: &$scheduler.log,
-            distrust_until: &mut $scheduler.distrust_until,
+            reuse_suspended_until: &mut $scheduler.reuse_suspended_until,
             shutdown: $scheduler.shutdown,
             drain: &mut $scheduler.drain,
             cluster: &mut $scheduler.cluster,
--- a/crates/daemon/src/net/signals.rs
+++ b/crates/daemon/src/net/signals.rs
@@ -78,7 +78,7 @@
         let cx = &mut context!(self);
         info!(cx.log, "shutdown_started"; "pending_jobs" => cx.engine.pending_jobs());
         cx.event_loop.set_alarm(shutdown.serve_until(), Alarm::Shutdown);
-        cx.event_loop.set_alarm(shutdown.answer_by(), Alarm::AnswerAll);
+        cx.event_loop.set_alarm(shutdown.answer_by(), Alarm::FailPendingJobs);
         self.shutdown = Some(shutdown);
         // Our successors in the roles that we hold need not wait until our leases expire.
         if let (Some(cluster), Some(peer)) = (cx.cluster.as_mut(), &self.peer) {
--- a/crates/daemon/src/net/startup.rs
+++ b/crates/daemon/src/net/startup.rs
@@ -115,7 +115,7 @@
             reload,
             configured_discovery: config.discovery_in_file,
             shutdown: None,
-            distrust_until: 0.0,
+            reuse_suspended_until: 0.0,
             log,
         };
         scheduler.run_first_commands(now, config.cached_endpoints);
