--- a/crates/daemon/tests/client_disconnects.rs
+++ b/crates/daemon/tests/client_disconnects.rs
@@ -1,6 +1,7 @@
-//! Clients that disconnect at any time of their job. No attempt of it may start after that.
+//! Clients that disconnect in any phase of their job. No attempt of the job may start after that.
 //!
-//! The order of events is forced by what is sent, or by pausing the scheduler (SIGSTOP) until all of it has come.
+//! The order of events is fixed by what the tests send, or by pausing the scheduler (SIGSTOP) until all of it
+//! has arrived.
 #![allow(missing_docs)]
 
 mod support;
@@ -24,16 +25,16 @@
     read_message(&mut attempt);
     drop(client);
     let since = Instant::now();
-    // Half a request, and a head alone, go with their connections.
+    // Part of a head, and a head with part of its body, are discarded with their connections.
     drop(scheduler.send_request("POST /view/k1 HTT"));
     drop(scheduler.send_request(&job_request("view", "h2", "1234").replace("1234", "12")));
     let mut other = scheduler.send_request(&job_request("view", "h3", ""));
     let mut second = accept(&worker);
     assert!(read_message(&mut second).contains("X-Trace-Id: h3\r\n"));
-    // The worker sees that nobody waits for the first.
+    // The first attempt is cancelled by closing its connection.
     assert!(is_closed(&mut attempt) && since.elapsed() < Duration::from_secs(3));
-    send(&mut second, &served_response("h3", "somebody"));
-    assert!(read_message(&mut other).ends_with("\r\n\r\nsomebody"));
+    send(&mut second, &served_response("h3", "result"));
+    assert!(read_message(&mut other).ends_with("\r\n\r\nresult"));
 }
 
 #[test]
@@ -44,7 +45,7 @@
     scheduler.wait_for_pending_jobs(1.0);
     drop(client);
     scheduler.wait_for_pending_jobs(0.0);
-    // Only now does the worker accept connections.
+    // From here on the worker's backlog has room for connections.
     drop(first);
     let received = received_within(&worker, vec![], SYN_RETRANSMISSION_TIMEOUT);
     assert!(!received.contains("X-Trace-Id: c1"), "{received}");
@@ -72,7 +73,7 @@
 fn a_job_returned_unstarted_after_its_client_disconnected_is_not_retried() {
     for class in ["view", "sale", "buy"] {
         let mut settings = settings_without_cancelling();
-        // A worker that has returned one is selected again after a part of this.
+        // A worker that has returned a job is selected again after a fraction of this time.
         set_in_each_class(&mut settings, "goal-time", 400.0);
         let worker = bind_loopback();
         let scheduler = start_scheduler(settings, &worker);
@@ -90,14 +91,15 @@
     }
 }
 
-/// Resets a reused connection before it sends a byte back: from here on last bytes are withheld for a while.
+/// Resets a reused connection before its response begins. After that, the scheduler withholds the last byte
+/// of non-idempotent requests for a while.
 fn withhold_last_bytes(scheduler: &Scheduler, worker: &TcpListener, mut idle: TcpStream) {
     let mut client = scheduler.send_request(&job_with_time_left("view", "b1", 60_000));
     read_message(&mut idle);
     reset_connection(idle);
     let mut attempt = accept(worker);
     read_message(&mut attempt);
-    send(&mut attempt, &served_response("b1", "again"));
+    send(&mut attempt, &served_response("b1", "retried"));
     read_message(&mut client);
 }
 
@@ -115,32 +117,32 @@
     let scheduler = start_scheduler(settings_without_cancelling(), &worker);
     let idle = scheduler.assert_serves(&worker, "b0");
     withhold_last_bytes(&scheduler, &worker, idle);
-    let mut hits = 0;
+    let mut observed = 0;
     for n in 0..200 {
         let client =
             scheduler.send_request(&with_time_left(&job_request("sale", &format!("b2-{n}"), "1234"), 60_000));
         let mut attempt = accept(&worker);
         read_up_to(&mut attempt, b"\r\n\r\n123");
-        // Paused, it can't send that one; its client disconnects meanwhile. Now and then the pause comes too late, or
-        // falls between the end of the poll and the write that it has led to.
+        // While paused, the scheduler can't send the last byte, and the client disconnects. In some rounds
+        // the pause comes too late, or falls between the return of the poll and the write that follows it.
         scheduler.pause();
         let in_poll = scheduler.is_paused_in_poll();
         attempt.set_nonblocking(true).expect("set_nonblocking");
-        let held = matches!(attempt.read(&mut [0; 1]), Err(e) if e.kind() == ErrorKind::WouldBlock);
+        let is_withheld = matches!(attempt.read(&mut [0; 1]), Err(e) if e.kind() == ErrorKind::WouldBlock);
         attempt.set_nonblocking(false).expect("set_nonblocking");
         drop(client);
         std::thread::sleep(ms(10));
         scheduler.resume();
-        if held && in_poll {
-            hits += 1;
-            assert!(is_closed(&mut attempt), "its last byte was sent though nobody waits");
+        if is_withheld && in_poll {
+            observed += 1;
+            assert!(is_closed(&mut attempt), "the last byte was sent after the client had disconnected");
         }
-        if hits == 3 {
+        if observed == 3 {
             return;
         }
         scheduler.wait_for_pending_jobs(0.0);
     }
-    panic!("no pause fell between the two bytes");
+    panic!("only {observed} of 3 pauses fell between the two writes of a request");
 }
 
 #[test]
@@ -148,7 +150,8 @@
     let worker = bind_loopback();
     let scheduler = start_scheduler(settings(), &worker);
     let idle = scheduler.assert_serves(&worker, "c0");
-    // All of it has arrived when it is read; an idle connection to the worker is there to send an attempt at once.
+    // The requests and disconnects have all arrived when the scheduler reads them. An idle connection to the
+    // worker is available, so that an attempt could be sent at once.
     scheduler.signal("-STOP");
     let disconnected = scheduler.send_request(&job_request("view", "c1", "x"));
     drop(disconnected);
@@ -166,17 +169,19 @@
     assert_eq!(scheduler.admin_figure("open_requests"), 0.0);
 }
 
-/// Connections of which some process still holds an end, to either of these ports. Those to discovery come and go.
+/// Counts the connections to or from these ports whose socket a process still has open. Connections to
+/// discovery are not counted, because they are opened and closed all the time.
 fn count_open_connections(ports: [u16; 2]) -> usize {
     const LISTENS: &str = "0A";
     let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's table");
-    let held = |line: &&str| {
+    let is_open = |line: &&str| {
         let fields: Vec<&str> = line.split_whitespace().collect();
         let port = |at: &str| u16::from_str_radix(at.rsplit(':').next().unwrap_or_default(), 16).ok();
-        let ours = |at: &str| port(at).is_some_and(|port| ports.contains(&port));
-        fields[3] != LISTENS && fields[9] != "0" && (ours(fields[1]) || ours(fields[2]))
+        let is_counted = |at: &str| port(at).is_some_and(|port| ports.contains(&port));
+        // Field 9 is the inode, which is 0 once no process has the socket open.
+        fields[3] != LISTENS && fields[9] != "0" && (is_counted(fields[1]) || is_counted(fields[2]))
     };
-    table.lines().skip(1).filter(held).count()
+    table.lines().skip(1).filter(is_open).count()
 }
 
 /// How a client disconnects.
@@ -188,13 +193,13 @@
     HalfClose,
 }
 
-/// Disconnects a client whose request lacks this many bytes.
+/// Disconnects a client that has not sent the last `missing` bytes of its request.
 fn disconnect(mut client: TcpStream, how: Disconnect, missing: usize) {
     match how {
         Disconnect::Close => drop(client),
         Disconnect::Reset => reset_connection(client),
         Disconnect::GarbageThenClose => {
-            // A body may hold anything: one that is not to become complete is sent less than it lacks.
+            // Any bytes are valid in a body, so a body that must stay incomplete gets fewer than are missing.
             let count = if missing == MISSING_BODY { MISSING_BODY / 2 } else { 40_000 };
             let _ = client.write_all(&vec![0xff; count]);
         }
@@ -205,7 +210,7 @@
     }
 }
 
-/// How much of its body a client lacks that disconnects within it.
+/// Bytes missing from the body of a request whose client disconnects while sending the body.
 const MISSING_BODY: usize = 1_000;
 
 #[test]
@@ -219,7 +224,7 @@
     let ways = [Disconnect::Close, Disconnect::Reset, Disconnect::GarbageThenClose, Disconnect::HalfClose];
     for (round, how) in ways.into_iter().cycle().take(40).enumerate() {
         let request = job_request("view", &format!("g{round}"), &"x".repeat(2_000));
-        // In its head, in its body, once it is with a worker.
+        // Within the head, within the body, and after the worker has received the request.
         for sent in [20, request.len() - MISSING_BODY, request.len()] {
             let client = scheduler.send_request(&request[..sent]);
             let mut attempt = (sent == request.len()).then(|| accept(&worker));
--- a/crates/daemon/tests/client_requests.rs
+++ b/crates/daemon/tests/client_requests.rs
@@ -1,8 +1,8 @@
-//! Requests of clients: malformed, chunked, and pipelined behind another.
+//! Client requests: malformed, chunked and pipelined ones.
 #![allow(missing_docs)]
 
 #[path = "../../protocol/tests/common/request_heads.rs"]
-#[allow(dead_code)] // Only the heads and their statuses are used here.
+#[allow(dead_code)] // Only the heads and the expected statuses are used here.
 mod request_heads;
 mod support;
 
@@ -19,15 +19,15 @@
 };
 
 #[test]
-fn malformed_requests_get_a_4xx_and_the_scheduler_serves_on() {
+fn malformed_requests_get_a_4xx_and_the_scheduler_keeps_serving() {
     let (scheduler, worker) = scheduler_with_one_worker();
     let good = job_request("view", "b1", "");
     let chunked = "Transfer-Encoding: chunked\r\n\r\n";
     let cases = [
         ("\u{1}\u{2}\r\n\r\n".to_owned(), "400"),
-        (good.replace("view", "dig"), "404"),
+        (good.replace("view", "unknown"), "404"),
         (good.replace("X-Qos: view", "X-Qos: sale"), "400"),
-        (good.replace("karoo", "atlantis"), "403"),
+        (good.replace("karoo", "unknown"), "403"),
         (good.replace("X-Trace-Id: b1\r\n", ""), "400"),
         (good.replace("POST", "PUT"), "405"),
         (good.replace("4000", "soon"), "400"),
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn no_rejected_head_leaves_the_connection_open() {
+fn a_rejected_head_gets_one_response_and_closes_the_connection() {
     let (scheduler, worker) = scheduler_with_one_worker();
     let is_rejected = |case: &request_heads::Case| case.outcome.starts_with('4');
     let rejected: Vec<_> = request_heads::cases().into_iter().filter(is_rejected).collect();
@@ -80,23 +80,23 @@
 }
 
 #[test]
-fn nothing_smuggled_behind_a_malformed_request_reaches_a_worker() {
+fn a_request_smuggled_behind_a_malformed_one_does_not_reach_a_worker() {
     let (scheduler, worker) = scheduler_with_one_worker();
-    let hidden = job_request("sale", "s1", "");
+    let smuggled = job_request("sale", "s1", "");
     let head = job_request("view", "s0", "").replace("Content-Length: 0\r\n\r\n", "");
     let fronts = [
-        job_request("dig", "s0", ""),
+        job_request("unknown", "s0", ""),
         format!("{head}Content-Length: 0\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
         format!("{head}Transfer-Encoding: \u{e9}chunked\r\n\r\n"),
         "POST / HTTP/1.1\r\nContent-Length: 3\r\n\r\nabc".to_owned(),
     ];
     for front in fronts {
-        let mut client = scheduler.send_request(&format!("{front}{hidden}"));
+        let mut client = scheduler.send_request(&format!("{front}{smuggled}"));
         assert!(read_message(&mut client).starts_with("HTTP/1.1 4"));
-        // The connection is closed with the error.
+        // The connection is closed after the error response.
         assert!(is_closed(&mut client));
     }
-    // The first request that the worker gets is this one.
+    // This is the first request that the worker receives.
     scheduler.assert_serves(&worker, "s2");
 }
 
@@ -108,8 +108,8 @@
     read_message(&mut attempt);
     let answer = read_message(&mut scheduler.send_request(&job_request("view", "t1", "second")));
     assert!(answer.starts_with("HTTP/1.1 409 "), "{answer}");
-    send(&mut attempt, &served_response("t1", "mine"));
-    assert!(read_message(&mut client).ends_with("\r\n\r\nmine"));
+    send(&mut attempt, &served_response("t1", "result"));
+    assert!(read_message(&mut client).ends_with("\r\n\r\nresult"));
     send(&mut client, &job_request("view", "t2", ""));
     assert!(read_message(&mut attempt).contains("X-Trace-Id: t2\r\n"));
 }
@@ -118,20 +118,20 @@
 fn a_chunked_request_reaches_its_worker_complete() {
     let (scheduler, worker) = scheduler_with_one_worker();
     let head = job_request("view", "p1", "").replace("Content-Length: 0", "Transfer-Encoding: chunked");
-    let wire = format!("{head}{}{}0;last\r\nTrailer: x\r\n\r\n", chunk("har"), chunk("vest"));
+    let wire = format!("{head}{}{}0;last\r\nTrailer: x\r\n\r\n", chunk("one"), chunk("half"));
     let mut client = scheduler.connect();
     for part in wire.as_bytes().chunks(3) {
         send(&mut client, std::str::from_utf8(part).expect("ASCII"));
         std::thread::sleep(ms(1));
     }
     let mut attempt = accept(&worker);
-    assert!(read_message(&mut attempt).ends_with("\r\n\r\nharvest"));
-    send(&mut attempt, &served_response("p1", "whole"));
-    assert!(read_message(&mut client).ends_with("\r\n\r\nwhole"));
+    assert!(read_message(&mut attempt).ends_with("\r\n\r\nonehalf"));
+    send(&mut attempt, &served_response("p1", "result"));
+    assert!(read_message(&mut client).ends_with("\r\n\r\nresult"));
 }
 
 #[test]
-fn a_rejection_is_complete_though_the_rest_of_its_request_still_arrives() {
+fn a_client_that_still_sends_its_request_receives_the_complete_rejection() {
     let (address, _) = spawn_worker(0);
     let scheduler = start_scheduler_at(settings(), address);
     let large = job_request("view", "g1", "").replace("Content-Length: 0", "Content-Length: 600000");
@@ -139,19 +139,19 @@
         let mut client = scheduler.send_request(&front);
         send(&mut client, &"x".repeat(600_000));
         let (text, clean) = read_to_close(&mut client);
-        assert!(clean, "{status}: reset behind {text:?}");
+        assert!(clean, "{status}: connection reset after {text:?}");
         assert!(count_responses(&text) == 1 && text.starts_with(&format!("HTTP/1.1 {status} ")), "{text:?}");
     }
 }
 
 #[test]
-fn excess_pipelined_bytes_close_the_connection_after_the_response_and_hide_no_request() {
+fn excess_pipelined_bytes_close_the_connection_after_the_response_and_start_no_job() {
     let (scheduler, worker) = scheduler_with_one_worker();
     let mut client = scheduler.send_request(&job_request("view", "h1", "x"));
     let mut attempt = accept(&worker);
     read_message(&mut attempt);
-    let early = format!("{}{}", "x".repeat(9 * 1024), job_request("sale", "h2", "hidden"));
-    send(&mut client, &early);
+    let pipelined = format!("{}{}", "x".repeat(9 * 1024), job_request("sale", "h2", "hidden"));
+    send(&mut client, &pipelined);
     scheduler.wait_for_pending_jobs(1.0);
     send(&mut attempt, &served_response("h1", "yes"));
     let answer = read_message(&mut client);
@@ -174,7 +174,8 @@
     assert!(answer.ends_with("\r\n\r\nyes") && answer.contains("Connection: close"), "{answer}");
 }
 
-/// Sends this many times a thousand health checks and a job behind them, and counts the thousands that were written.
+/// Sends `thousands` times 1000 health checks, then a job. The returned counter is the number of thousands
+/// written.
 fn send_thousands(mut client: TcpStream, thousands: usize) -> (JoinHandle<()>, Arc<AtomicUsize>) {
     let written = Arc::new(AtomicUsize::new(0));
     let progress = Arc::clone(&written);
@@ -189,7 +190,7 @@
     (sending, written)
 }
 
-/// Waits until nothing more is written, and returns how much was.
+/// Waits until the counter of written thousands no longer changes, and returns it.
 fn wait_until_stalled(written: &AtomicUsize) -> usize {
     let (mut last, since) = (usize::MAX, Instant::now());
     while written.load(Ordering::Relaxed) != last {
@@ -205,17 +206,21 @@
     let (scheduler, worker) = scheduler_with_one_worker();
     scheduler.wait_until_ready();
     let mut client = scheduler.connect();
-    // Far more than all buffers hold, and a job behind them. Its client reads nothing until all buffers are full.
+    // Far more requests than all buffers hold, then a job. The client reads nothing until all buffers are
+    // full.
     let thousands = 400;
     let (sending, written) = send_thousands(client.try_clone().expect("a second handle"), thousands);
-    assert!(wait_until_stalled(&written) < thousands, "all of it was read: nothing is left in the socket");
-    let mut some = vec![0; 64 * 1024];
+    assert!(
+        wait_until_stalled(&written) < thousands,
+        "the scheduler read all requests: none is left in the socket"
+    );
+    let mut buffer = vec![0; 64 * 1024];
     let (mut attempt, mut tail) = (None, Vec::new());
     worker.set_nonblocking(true).expect("set_nonblocking");
     while !tail.ends_with(b"\r\n\r\nyes") {
-        let read = client.read(&mut some).expect("a response");
-        assert!(read > 0, "the connection was closed");
-        tail.extend_from_slice(&some[..read]);
+        let read = client.read(&mut buffer).expect("a response");
+        assert!(read > 0, "the scheduler closed the connection before the job's response");
+        tail.extend_from_slice(&buffer[..read]);
         tail.drain(..tail.len().saturating_sub(64));
         if attempt.is_none() && tail.ends_with(b"up\n") && sending.is_finished() {
             let mut connection = accept(&worker);
@@ -224,5 +229,5 @@
             attempt = Some(connection);
         }
     }
-    sending.join().expect("all was sent");
+    sending.join().expect("all requests were sent");
 }
--- a/crates/daemon/tests/deadlines.rs
+++ b/crates/daemon/tests/deadlines.rs
@@ -1,4 +1,4 @@
-//! The time that a job has left, as its workers are sent it, and what happens when none is.
+//! The time left of a job: what workers are told of it, and what happens when it runs out.
 #![allow(missing_docs)]
 
 mod support;
@@ -15,7 +15,7 @@
 };
 
 #[test]
-fn a_retry_sends_its_worker_at_most_the_time_left() {
+fn a_retry_tells_its_worker_at_most_the_time_left() {
     let worker = bind_loopback();
     let scheduler = start_scheduler(settings(), &worker);
     for class in ["view", "buy"] {
@@ -38,12 +38,12 @@
 }
 
 #[test]
-fn an_attempt_that_connects_late_sends_the_time_left_then() {
+fn an_attempt_that_connects_late_tells_its_worker_the_time_left_at_that_moment() {
     let (worker, first) = worker_with_full_backlog();
     let mut settings = settings();
     settings["limits"]["connect-timeout"] = json!(3_000.0);
     let scheduler = start_scheduler(settings, &worker);
-    drop((worker.accept().expect("the one in the backlog"), first));
+    drop((worker.accept().expect("the connection in the backlog"), first));
     let submitted = Instant::now();
     let _client = scheduler.send_request(&job_request("view", "v1", "x"));
     let mut attempt = accept(&worker);
@@ -52,7 +52,7 @@
     reset_connection(attempt);
     std::thread::sleep(ms(600));
     let spent = submitted.elapsed().as_secs_f64() * 1_000.0;
-    drop((worker.accept().expect("the one in the backlog"), in_backlog));
+    drop((worker.accept().expect("the connection in the backlog"), in_backlog));
     let mut attempt = accept(&worker);
     let time_left = time_left_sent(&read_message(&mut attempt));
     assert!(time_left <= 4_000.0 - spent + 150.0, "{time_left} after {spent}");
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_silent_worker_fails_its_job_at_the_deadline_and_no_other() {
+fn a_worker_that_does_not_respond_fails_its_job_at_the_deadline_and_no_other() {
     let (scheduler, worker) = scheduler_with_one_worker();
     let since = Instant::now();
     let mut client = scheduler.send_request(&with_time_left(&job_request("sale", "q1", ""), 300));
@@ -139,7 +139,7 @@
     read_message(&mut attempt);
     assert!(read_message(&mut client).starts_with("HTTP/1.1 502 "));
     assert!(since.elapsed() >= ms(300) && since.elapsed() < Duration::from_secs(5));
-    // Closing the connection is how a worker learns that the attempt was cancelled.
+    // The worker is told of the cancellation by the close of its connection.
     assert!(is_closed(&mut attempt));
     scheduler.assert_serves(&worker, "q2");
 }
--- a/crates/daemon/tests/pipelined_disconnects.rs
+++ b/crates/daemon/tests/pipelined_disconnects.rs
@@ -1,4 +1,5 @@
-//! Clients that disconnect behind bytes that they sent ahead of their response.
+//! Clients that send further bytes before they have their response, and then disconnect. The scheduler has to
+//! read past these bytes to notice the disconnect.
 #![allow(missing_docs)]
 
 mod support;
@@ -15,14 +16,14 @@
     let settings = settings_without_timeouts();
     let worker = bind_loopback();
     let scheduler = start_scheduler(settings, &worker);
-    for early in [1, 8 * 1024, 100_000] {
+    for pipelined in [1, 8 * 1024, 100_000] {
         let mut client = scheduler.send_request(&job_with_time_left("view", "e1", 60_000));
         let mut attempt = accept(&worker);
         read_message(&mut attempt);
-        // It sends far more than its one request, and disconnects.
-        send(&mut client, &"POST /view/k1 HTTP/1.1\r\n".repeat(early / 24 + 1));
+        // The client sends further bytes after its request, and disconnects.
+        send(&mut client, &"POST /view/k1 HTTP/1.1\r\n".repeat(pipelined / 24 + 1));
         drop(client);
-        assert!(is_closed(&mut attempt), "the attempt is not cancelled after {early} more bytes");
+        assert!(is_closed(&mut attempt), "the attempt is not cancelled after {pipelined} pipelined bytes");
         scheduler.wait_for_pending_jobs(0.0);
     }
 }
@@ -34,10 +35,10 @@
     let scheduler = Scheduler::start_with(settings_without_timeouts(), &[endpoint("s-a", at, "draining")]);
     let (_, mut watch) =
         scheduler.accept_watch(&[endpoint_list(2, true, &[endpoint("s-a", at, "draining")])]);
-    for early in [1, 50, 400] {
+    for pipelined in [1, 50, 400] {
         let mut client = scheduler.send_request(&job_with_time_left("view", "q1", 60_000));
         scheduler.wait_for_pending_jobs(1.0);
-        send(&mut client, &job_with_time_left("view", "q2", 60_000).repeat(early));
+        send(&mut client, &job_with_time_left("view", "q2", 60_000).repeat(pipelined));
         drop(client);
         scheduler.wait_for_pending_jobs(0.0);
     }
@@ -58,7 +59,7 @@
         drop(client);
         scheduler.wait_for_pending_jobs(0.0);
     }
-    // Only now, a second and more late, does the worker accept connections.
+    // From here on the worker's backlog has room: the attempts' connections open with a retransmitted SYN.
     drop(first);
     let received = received_within(&worker, vec![], SYN_RETRANSMISSION_TIMEOUT);
     assert!(!received.contains("POST "), "{received}");
@@ -74,7 +75,7 @@
         read_message(&mut attempt);
         send(&mut client, &job_request("view", "e2", "x"));
         scheduler.wait_for_pending_jobs(1.0);
-        // The response, and the client's disconnect, come in one turn.
+        // The scheduler handles the response and the client's disconnect in one turn.
         scheduler.signal("-STOP");
         send(&mut attempt, &served_response("e1", "yes"));
         drop(client);
@@ -88,13 +89,13 @@
 fn a_client_that_pipelines_hundreds_of_requests_and_disconnects_starts_only_the_first() {
     let worker = bind_loopback();
     let scheduler = start_scheduler(settings(), &worker);
-    for reset_it in [false, true] {
+    for is_reset in [false, true] {
         let mut client = scheduler.send_request(&job_request("view", "p0", "x"));
         let mut attempt = accept(&worker);
         read_message(&mut attempt);
         let many: String = (1..300).map(|n| job_request("view", &format!("p{n}"), "x")).collect();
         send(&mut client, &many);
-        if reset_it {
+        if is_reset {
             reset_connection(client)
         } else {
             drop(client)
--- a/crates/daemon/tests/retries.rs
+++ b/crates/daemon/tests/retries.rs
@@ -1,4 +1,4 @@
-//! When a job is attempted again: where it never ran, or may run again, and within its retry window.
+//! When a job is retried: if it never ran, or if it is safe to run again, and only within its retry window.
 #![allow(missing_docs)]
 
 mod support;
@@ -16,7 +16,7 @@
 };
 
 #[test]
-fn a_job_that_may_have_run_is_retried_only_where_it_is_idempotent() {
+fn a_job_that_may_have_run_is_retried_only_if_its_class_is_safe_to_repeat() {
     let (scheduler, worker) = scheduler_with_one_worker();
     let mut client = scheduler.send_request(&job_request("sale", "c1", ""));
     let mut attempt = accept(&worker);
@@ -24,37 +24,37 @@
     send(&mut attempt, &format!("{RESPONSE_HEAD}{}", chunk("{\"id\":\"c1\",\"state\":\"started\"}\n")));
     drop(attempt);
     assert!(read_message(&mut client).starts_with("HTTP/1.1 502 "));
-    // The class that is idempotent is retried.
+    // A job without side effects is retried.
     let mut client = scheduler.send_request(&job_request("view", "c2", ""));
     drop((read_message(&mut accept(&worker)), ()));
     let mut attempt = accept(&worker);
     assert!(read_message(&mut attempt).contains("X-Trace-Id: c2\r\n"));
-    send(&mut attempt, &served_response("c2", "again"));
-    assert!(read_message(&mut client).ends_with("\r\n\r\nagain"));
+    send(&mut attempt, &served_response("c2", "retried"));
+    assert!(read_message(&mut client).ends_with("\r\n\r\nretried"));
 }
 
-/// Resets a connection while it receives the next request.
+/// Resets a connection as soon as bytes of the next request have arrived on it.
 fn reset_at_next_request(stream: TcpStream) {
     stream.peek(&mut [0; 1]).expect("a request");
-    // Closed with input unread.
+    // Closing a socket with unread input resets the connection.
     drop(stream);
 }
 
 #[test]
-fn after_a_reused_connection_was_reset_jobs_use_new_ones_that_show_early_if_they_never_ran() {
+fn after_a_reused_connection_was_reset_jobs_use_new_ones_and_an_incomplete_request_is_retried() {
     let (scheduler, worker) = scheduler_with_one_worker();
     let idle = scheduler.assert_serves(&worker, "w0");
     let mut client = scheduler.send_request(&job_request("view", "w1", ""));
     reset_at_next_request(idle);
     let mut attempt = accept(&worker);
     read_message(&mut attempt);
-    send(&mut attempt, &served_response("w1", "again"));
-    assert!(read_message(&mut client).ends_with("again"));
-    // That connection stays open and is not used.
+    send(&mut attempt, &served_response("w1", "retried"));
+    assert!(read_message(&mut client).ends_with("retried"));
+    // That connection stays open but is not reused.
     let _attempts = [attempt, scheduler.assert_serves(&worker, "w2"), scheduler.assert_serves(&worker, "w3")];
-    // A job that must not run twice is not complete yet when its connection breaks, and is retried. Now and then the
-    // reset may come too late for that.
-    let again = (0..20).filter(|n| {
+    // The last byte of a non-idempotent request is withheld. If the connection is reset before that byte is
+    // sent, the job never ran and is retried. In some rounds the reset may come too late for that.
+    let retried = (0..20).filter(|n| {
         let mut client = scheduler.send_request(&job_request(
             "sale",
             &format!("w4{n}"),
@@ -77,17 +77,17 @@
         let Some(mut second) = second else { return false };
         second.set_nonblocking(false).expect("set_nonblocking");
         assert!(read_message(&mut second).ends_with(if n % 2 == 0 { "\r\n\r\n" } else { "\r\n\r\nbody" }));
-        send(&mut second, &served_response(&format!("w4{n}"), "elsewhere"));
+        send(&mut second, &served_response(&format!("w4{n}"), "retried"));
         client.set_nonblocking(false).expect("set_nonblocking");
-        read_message(&mut client).ends_with("elsewhere")
+        read_message(&mut client).ends_with("retried")
     });
-    assert!(again.count() > 0);
+    assert!(retried.count() > 0);
 }
 
 #[test]
 fn a_job_whose_connection_is_refused_is_retried_elsewhere() {
     let worker = bind_loopback();
-    // Nothing listens at a client's end, and while it is open no other test is given its port.
+    // Nothing listens on the local port of an open client connection, and no other test can get that port.
     let other = bind_loopback();
     let open = TcpStream::connect(address_of(&other)).expect("connected");
     let refusing = open.local_addr().expect("local_addr");
@@ -98,8 +98,8 @@
         let mut client = scheduler.send_request(&job_request("sale", id, ""));
         let mut attempt = idle.take().unwrap_or_else(|| accept(&worker));
         read_message(&mut attempt);
-        send(&mut attempt, &served_response(id, "here"));
-        assert!(read_message(&mut client).ends_with("\r\n\r\nhere"));
+        send(&mut attempt, &served_response(id, "result"));
+        assert!(read_message(&mut client).ends_with("\r\n\r\nresult"));
         idle = Some(attempt);
         wait_for_reuse();
     }
@@ -107,7 +107,7 @@
 
 #[test]
 fn a_job_returned_unstarted_is_retried_elsewhere() {
-    // Three workers behind one address: whichever is selected first, the others are left.
+    // Three workers share one address, so that the order in which they are selected does not matter.
     let worker = bind_loopback();
     let at = address_of(&worker);
     let scheduler = Scheduler::start(&["s-a", "s-b", "s-c"].map(|name| endpoint(name, at, "ready")));
@@ -131,13 +131,13 @@
     let last = "{\"id\":\"x1\",\"state\":\"done\",\"result\":\"yes\"}\n";
     let whole = format!("{RESPONSE_HEAD}{started}{}", chunk(last));
     let cuts = [
-        ("before a byte", 0),
+        ("before the first byte", 0),
         ("in the status line", 9),
         ("in the head", RESPONSE_HEAD.len() - 3),
-        ("behind the head", RESPONSE_HEAD.len()),
+        ("after the head", RESPONSE_HEAD.len()),
         ("in a chunk's length", RESPONSE_HEAD.len() + 1),
         ("in the first line", RESPONSE_HEAD.len() + 12),
-        ("behind the first line", RESPONSE_HEAD.len() + started.len()),
+        ("after the first line", RESPONSE_HEAD.len() + started.len()),
         ("in the last line", whole.len() - 20),
     ];
     for class in ["view", "sale", "buy"] {
@@ -148,7 +148,7 @@
             read_message(&mut attempt);
             send(&mut attempt, &whole[..cut]);
             if cut > 0 {
-                // What was sent is read before the reset that would throw it away.
+                // The scheduler reads what was sent before the reset, which would discard unread input.
                 wait_until_read(&attempt);
             }
             reset_connection(attempt);
@@ -157,12 +157,12 @@
                 assert!(answer.starts_with("HTTP/1.1 502 "), "{region}: {answer}");
                 assert_eq!(received_within(&worker, vec![], ms(100)), "", "{region}: a second execution");
             } else {
-                // Retries of these are harmless, and go on until the client's deadline.
-                let mut again = accept(&worker);
-                assert!(read_message(&mut again).contains("X-Trace-Id: x1\r\n"), "{region}");
-                send(&mut again, &served_response("x1", "again"));
+                // These classes are safe to retry, until the client's deadline.
+                let mut retry = accept(&worker);
+                assert!(read_message(&mut retry).contains("X-Trace-Id: x1\r\n"), "{region}");
+                send(&mut retry, &served_response("x1", "retried"));
                 let answer = read_message(&mut client);
-                assert!(answer.ends_with("\r\n\r\nagain"), "{class} {region}: {answer}");
+                assert!(answer.ends_with("\r\n\r\nretried"), "{class} {region}: {answer}");
             }
         }
     }
@@ -177,7 +177,7 @@
         assert_eq!(count_responses(&text), 1, "{class}: {text:?}");
         let runs = count_attempts(&received, "x1");
         let served = text.ends_with("\r\n\r\nyes") && runs == 1;
-        // What may have been read there is not retried where that would do harm.
+        // A non-idempotent job that the worker may have read is not retried.
         let failed = class == "sale" && text.starts_with("HTTP/1.1 50") && runs == 0;
         assert!(served || failed, "{class}: {runs} runs, {text:?}");
     }
@@ -189,11 +189,12 @@
     settings["classes"][2]["window"] = json!(500.0);
     let (worker, first) = worker_with_full_backlog();
     let scheduler = start_scheduler(settings, &worker);
-    drop((worker.accept().expect("the one in the backlog"), first));
+    drop((worker.accept().expect("the connection in the backlog"), first));
     let mut client = scheduler.send_request(&job_with_time_left("buy", "w1", 60_000));
     let mut attempt = accept(&worker);
     assert!(read_message(&mut attempt).contains("X-Trace-Id: w1\r\n"));
-    // It may have run, and a retry is dropped for half a second. The next connection opens later than that.
+    // The job may have run, so it may be retried only within the window of 500 ms. The full backlog delays
+    // the retry's connection beyond that.
     let in_backlog = TcpStream::connect(address_of(&worker)).expect("capacity for one");
     reset_connection(attempt);
     std::thread::sleep(ms(600));
@@ -205,9 +206,11 @@
     scheduler.assert_serves(&worker, "w2");
 }
 
-/// Runs one job with an idempotency key and a retry window of 300 ms on a worker that resets each attempt this much
-/// later. For each retry: how long after the first attempt's arrival the reset came that it followed. The first was
-/// sent before that, and each retry after its reset, so that a busy machine can't make a retry look later than it began.
+/// Runs one job with an idempotency key and a retry window of 300 ms on a worker that resets each attempt
+/// after `wait`. Returns for each retry the time from the arrival of the first attempt to the reset that the
+/// retry followed. The first attempt was sent before its arrival and each retry after its reset, so this is
+/// never longer than the time from the start of the first attempt to that of the retry: delays on a busy
+/// machine can't make a retry look too late.
 fn reset_times_before_retries(wait: Duration) -> Vec<Duration> {
     let mut settings = settings();
     settings["classes"][2]["window"] = json!(300.0);
@@ -218,13 +221,13 @@
     client.set_nonblocking(true).expect("set_nonblocking");
     let (mut resets, since) = (Vec::new(), Instant::now());
     let mut first = None;
-    // Up to the job's answer, whatever that is.
+    // Until the job is answered.
     while matches!(client.peek(&mut [0; 1]), Err(e) if e.kind() == ErrorKind::WouldBlock) {
-        assert!(since.elapsed() < TEST_TIMEOUT, "it has no answer");
+        assert!(since.elapsed() < TEST_TIMEOUT, "the job was not answered");
         if let Ok((stream, _)) = worker.accept() {
             stream.set_nonblocking(false).expect("set_nonblocking");
             let mut reader = BufReader::new(stream);
-            assert!(next_request(&mut reader).is_some(), "an attempt that is not complete");
+            assert!(next_request(&mut reader).is_some(), "the request of an attempt is incomplete");
             let first = *first.get_or_insert_with(Instant::now);
             std::thread::sleep(wait);
             resets.push(first.elapsed());
@@ -235,7 +238,7 @@
     client.set_nonblocking(false).expect("set_nonblocking");
     let (text, _) = read_to_close(&mut client);
     assert!(count_responses(&text) == 1 && text.starts_with("HTTP/1.1 502 "), "{text:?}");
-    // Nor does one start after the answer.
+    // No attempt starts after the answer.
     assert_eq!(received_within(&worker, vec![], ms(400)), "");
     // No attempt followed the last reset.
     resets.pop();
--- a/crates/daemon/tests/worker_responses.rs
+++ b/crates/daemon/tests/worker_responses.rs
@@ -1,4 +1,4 @@
-//! Responses of workers: split, malformed, duplicated, endless.
+//! Worker responses: split, malformed, duplicate and endless ones.
 #![allow(missing_docs)]
 
 mod support;
@@ -26,7 +26,8 @@
     assert!(request.ends_with(&"b".repeat(64 * 1024)));
     let last = r#"{"id":"a1","state":"done","result":"say \"hi\"\u0021"}"#;
     let body = format!(
-        "{{\"id\":\"a1\",\"state\":\"started\"}}\n{{\"id\":\"a1\",\"state\":\"running\",\"share\":0.4}}\n{last}\n"
+        "{{\"id\":\"a1\",\"state\":\"started\"}}\n\
+         {{\"id\":\"a1\",\"state\":\"running\",\"share\":0.4}}\n{last}\n"
     );
     let (front, rest) = body.split_at(body.len() - 9);
     let wire = format!("{RESPONSE_HEAD}{}{}0\r\n\r\n", chunk(front), chunk(rest));
@@ -35,7 +36,7 @@
         std::thread::sleep(ms(1));
     }
     assert!(read_message(&mut client).ends_with("\r\n\r\nsay \"hi\"!"));
-    // The next job reuses the connection, once that has been idle for long enough.
+    // The next job reuses the connection, which has been idle for long enough.
     wait_for_reuse();
     send(&mut client, &job_request("sale", "a2", ""));
     assert!(read_message(&mut attempt).contains("X-Trace-Id: a2\r\n"));
@@ -44,26 +45,27 @@
 }
 
 #[test]
-fn a_response_before_its_request_is_read_ends_an_attempt_that_was_sent_once() {
+fn a_job_whose_response_precedes_the_read_of_its_request_fails_and_is_sent_once() {
     let (scheduler, worker) = scheduler_with_one_worker();
-    // A worker that sends a malformed response before it has read: whatever it read, the job may run there.
-    let eager = std::thread::spawn(move || {
-        let answered = |_| {
+    // This worker sends a malformed response before it reads the request. The request may have been written
+    // by then, so the job may run and must not be retried.
+    let responding = std::thread::spawn(move || {
+        let respond_first = |_| {
             let mut stream = accept(&worker);
             send(&mut stream, "nonsense\r\n\r\n");
             stream
         };
-        (0..200).map(answered).map(|mut stream| read_message(&mut stream)).collect::<Vec<_>>()
+        (0..200).map(respond_first).map(|mut stream| read_message(&mut stream)).collect::<Vec<_>>()
     });
     for n in 0..200 {
         let answer = read_message(&mut scheduler.send_request(&job_request("sale", &format!("o{n}"), "")));
         assert!(answer.starts_with("HTTP/1.1 502 "), "{answer}");
     }
-    let requests = eager.join().expect("the worker ends");
-    let sent = |n: usize| {
+    let requests = responding.join().expect("the worker thread ends");
+    let count_sent = |n: usize| {
         requests.iter().filter(|request| request.contains(&format!("X-Trace-Id: o{n}\r\n"))).count()
     };
-    assert!((0..200).all(|n| sent(n) == 1));
+    assert!((0..200).all(|n| count_sent(n) == 1));
 }
 
 #[test]
@@ -83,10 +85,10 @@
 #[test]
 fn malformed_input_from_workers_and_peers_fails_only_its_exchange() {
     let (scheduler, worker) = scheduler_with_one_worker();
-    let stray = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
+    let unknown_peer = std::net::UdpSocket::bind("127.0.0.1:0").expect("a port");
     for message in [&b"\xff\xfe"[..], b"0abc", &[b'0'; 300], b""] {
         scheduler.peer.send_to(message, scheduler.peer_address).expect("sent");
-        stray.send_to(message, scheduler.peer_address).expect("sent");
+        unknown_peer.send_to(message, scheduler.peer_address).expect("sent");
     }
     let malformed = [
         "HTTP/9 what\r\n\r\n".to_owned(),
@@ -112,8 +114,8 @@
 fn a_response_line_without_the_requests_id_fails_the_attempt() {
     let (scheduler, worker) = scheduler_with_one_worker();
     let lines = [
-        r#"{"state":"done","result":"whose?"}"#,
-        r#"{"id":"other","state":"done","result":"whose?"}"#,
+        r#"{"state":"done","result":"unassigned"}"#,
+        r#"{"id":"other","state":"done","result":"unassigned"}"#,
         r#"{"state":"returned"}"#,
     ];
     for line in lines {
@@ -122,15 +124,15 @@
         read_message(&mut attempt);
         send(&mut attempt, &format!("{RESPONSE_HEAD}{}0\r\n\r\n", line_chunk(line)));
         let answer = read_message(&mut client);
-        // It may have run: it is neither served, nor rejected, nor retried.
+        // The job may have run, so it is neither served, nor rejected, nor retried.
         assert!(answer.starts_with("HTTP/1.1 502 "), "{line} {answer}");
     }
 }
 
 #[test]
-fn a_late_second_response_is_not_taken_for_the_next_requests() {
+fn a_late_duplicate_response_is_not_taken_for_the_response_to_the_next_request() {
     let (scheduler, worker) = scheduler_with_one_worker();
-    // Both at once: the second is sent in the turn that reads the first one's response.
+    // Both requests are pipelined: the second attempt starts in the turn that reads the first response.
     let mut client = scheduler.send_request(&format!(
         "{}{}",
         job_request("sale", "d1", "x"),
@@ -141,13 +143,13 @@
     send(&mut first, &served_response("d1", "one"));
     let mut second = accept(&worker);
     assert!(read_message(&mut second).contains("X-Trace-Id: d2\r\n"));
-    // This one names no request and says that its job never ran.
+    // The duplicate response names no request, and says that its job never ran.
     send(&mut first, "HTTP/1.1 503 Busy\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
     assert!(is_closed(&mut first));
     send(&mut second, &served_response("d2", "two"));
     assert!(read_message(&mut client).ends_with("\r\n\r\none"));
     assert!(read_message(&mut client).ends_with("\r\n\r\ntwo"));
-    assert_eq!(received_within(&worker, vec![], ms(300)), "", "it was sent a second time");
+    assert_eq!(received_within(&worker, vec![], ms(300)), "", "a job was sent a second time");
 }
 
 #[test]
@@ -159,15 +161,15 @@
         format!("{RESPONSE_HEAD}{}{}0\r\n\r\n", line(first), line(second))
     };
     for class in ["view", "sale", "buy"] {
-        for (n, after) in [false, true, true].into_iter().enumerate() {
+        for (n, is_late) in [false, true, true].into_iter().enumerate() {
             let worker = bind_loopback();
             let scheduler = start_scheduler(settings(), &worker);
             let mut client = scheduler.send_request(&job_request(class, "a1", "x"));
             let mut attempt = accept(&worker);
             read_message(&mut attempt);
-            if after {
+            if is_late {
                 send(&mut attempt, &served_response("a1", "first"));
-                // Some milliseconds late, and while the next request is being sent.
+                // The duplicates come some milliseconds later, while the next request is being sent.
                 std::thread::sleep(ms(5 * n as u64));
                 let _ = attempt.write_all(twice("a1", "done").as_bytes());
             } else {
@@ -177,12 +179,9 @@
             send(&mut client, &closing_job(class, "a2", 4_000));
             let (request, mut next) = next_request_on_any(&worker, attempt);
             assert_eq!(trace_id(&request), Some("a2"), "{class} {n}");
-            send(&mut next, &served_response("a2", "its own"));
+            send(&mut next, &served_response("a2", "other"));
             let (text, _) = read_to_close(&mut client);
-            assert!(
-                count_responses(&text) == 1 && text.ends_with("\r\n\r\nits own"),
-                "{class} {n}: {text:?}"
-            );
+            assert!(count_responses(&text) == 1 && text.ends_with("\r\n\r\nother"), "{class} {n}: {text:?}");
         }
     }
 }
@@ -210,7 +209,7 @@
         let _ = attempt.write_all(answer.as_bytes());
         let (text, _) = read_to_close(&mut client);
         assert!(count_responses(&text) == 1 && text.starts_with("HTTP/1.1 502 "), "{n}: {text:?}");
-        // Half a second after its deadline it would count as lost.
+        // An answer later than half a second after the deadline would count as lost.
         assert!(submitted.elapsed() < ms(1_500), "{n}: {:?}", submitted.elapsed());
         assert_eq!(received_within(&worker, vec![], ms(50)), "", "{n}: a second execution");
     }
@@ -237,11 +236,11 @@
         attempt.set_nonblocking(true).expect("set_nonblocking");
         let (since, mut closed) = (Instant::now(), false);
         while !closed {
-            // It sends on and on, until the scheduler closes the connection.
+            // The worker keeps sending until the scheduler closes the connection.
             let wrote = attempt.write(b" ");
             closed = wrote.is_err_and(|e| e.kind() != ErrorKind::WouldBlock)
                 || matches!(attempt.read(&mut [0; 16]), Ok(0));
-            assert!(since.elapsed() < TEST_TIMEOUT, "{front:?} is read for ever");
+            assert!(since.elapsed() < TEST_TIMEOUT, "the connection is still open after {front:?}");
             std::thread::sleep(ms(5));
         }
         assert!(read_message(&mut client).starts_with("HTTP/1.1 502 "), "{front:?}");
@@ -259,14 +258,14 @@
     let mut attempt = accept(&worker);
     read_message(&mut attempt);
     let line = chunk("{\"id\":\"f1\",\"state\":\"running\",\"share\":0.5}\n").repeat(10_000);
-    let flood = std::thread::spawn(move || {
+    let streaming = std::thread::spawn(move || {
         send(&mut attempt, RESPONSE_HEAD);
         while attempt.write_all(line.as_bytes()).is_ok() {}
     });
-    // Others are served meanwhile, and its own deadline holds.
+    // Other jobs are served meanwhile, and the streaming job ends at its deadline.
     for other in 0..3 {
         drop(scheduler.assert_serves(&worker, &format!("f2-{other}")));
     }
     assert!(read_message(&mut client).starts_with("HTTP/1.1 502 "));
-    flood.join().expect("it ends with its connection");
+    streaming.join().expect("the stream ends with its connection");
 }
