--- a/crates/protocol/src/config.rs
+++ b/crates/protocol/src/config.rs
@@ -1,4 +1,4 @@
-//! A scheduler's configuration: a JSON file, and what the command line and the environment override in it.
+//! A scheduler's configuration: a JSON file, with overrides from the command line and the environment.
 
 use crate::ConfigError;
 use brackenledge_policy::Millis;
@@ -6,34 +6,34 @@
 use std::net::SocketAddr;
 use std::path::Path;
 
-/// An entry of discovery's endpoint list, as JSON has it.
+/// An entry of discovery's endpoint list, as JSON.
 #[derive(Clone, Debug, miniserde::Deserialize)]
 pub struct Endpoint {
     /// The worker's name.
     pub name: String,
-    /// Where it listens.
+    /// The address where the worker accepts jobs.
     pub address: String,
-    /// Its zone's name.
+    /// Name of the worker's zone.
     pub zone: Option<String>,
-    /// Its machine kind's name.
+    /// Name of the kind of machine that the worker runs on.
     #[serde(rename = "type")]
     pub kind: Option<String>,
-    /// Its cell.
+    /// Number of the worker's cell.
     pub group: Option<u32>,
     /// `ready`, `draining` or `gone`.
     pub status: Option<String>,
-    /// A figure for comparing it with others.
+    /// The worker's size relative to other workers.
     pub weight: Option<f64>,
-    /// Its last start, in milliseconds of Unix time; 0: long ago.
+    /// When the worker last started, in milliseconds of Unix time; 0 if that was long ago.
     pub since_ms: Option<f64>,
 }
 
 /// A cached endpoint list.
 #[derive(Clone, Debug, miniserde::Deserialize)]
 pub struct EndpointList {
-    /// Its revision.
+    /// The list's revision.
     pub index: u64,
-    /// Its entries.
+    /// The list's entries.
     pub endpoints: Vec<Endpoint>,
 }
 
@@ -58,71 +58,70 @@
     settings: SettingsDocument,
 }
 
-/// What the command line and the environment override in the file.
+/// Values from the command line and the environment that override those of the file.
 #[derive(Clone, Debug, Default)]
 pub struct Overrides {
     /// The scheduler's name.
     pub name: Option<String>,
-    /// Where clients connect.
+    /// Listening address for clients.
     pub listen: Option<String>,
-    /// Where discovery is.
+    /// Discovery's address.
     pub discovery: Option<String>,
-    /// Where the admin endpoint listens.
+    /// Listening address of the admin endpoint.
     pub control: Option<String>,
 }
 
-/// How schedulers reach one another.
+/// Addresses for datagrams between schedulers.
 #[derive(Clone, Debug)]
 pub struct PeerConfig {
-    /// Where datagrams arrive.
+    /// The address that this scheduler receives datagrams on.
     pub listen: SocketAddr,
-    /// The schedulers' addresses, by their ordinals in the settings.
+    /// The schedulers' addresses, in the order of their ordinals in the settings.
     pub peers: Vec<SocketAddr>,
-    /// An address that reaches every scheduler, if there is one.
+    /// An address that delivers to all schedulers, if there is one.
     pub broadcast: Option<SocketAddr>,
 }
 
-/// The whole configuration.
+/// The configuration after parsing and overrides.
 #[derive(Clone, Debug)]
 pub struct Config {
     /// The scheduler's name.
     pub name: String,
-    /// Where clients connect.
+    /// Listening address for clients.
     pub listen: SocketAddr,
-    /// Where discovery is.
+    /// Discovery's address.
     pub discovery: SocketAddr,
-    /// Discovery's address in the file itself. On a reload a new one takes precedence over what the program was started
-    /// with: the environment can't change in a running process.
+    /// Discovery's address in the file, without the override. If it changes on a reload, it takes precedence
+    /// over the override, because the environment of a running process can't be changed.
     pub discovery_in_file: Option<SocketAddr>,
-    /// Where the admin endpoint listens, if there is one.
+    /// Listening address of the admin endpoint; without it there is none.
     pub control: Option<SocketAddr>,
-    /// Seed of random numbers.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// File descriptors that the process may hold.
+    /// Greatest number of file descriptors that the process may hold.
     pub sockets: usize,
-    /// How other schedulers are reached, where they are.
+    /// Addresses for datagrams between schedulers, if there are other schedulers.
     pub peer: Option<PeerConfig>,
-    /// The endpoint list as it was before the start.
+    /// The endpoint list that was known before the start.
     pub cached_endpoints: Option<EndpointList>,
     /// The settings document.
     pub settings: SettingsDocument,
 }
 
-/// Descriptors assumed where no limit is stated.
+/// Limit of file descriptors if the file states none.
 const DEFAULT_SOCKETS: usize = 1_024;
-/// Fewer descriptors than this leave no room for clients and workers.
+/// With fewer descriptors than this there is no room for clients and workers.
 const MIN_SOCKETS: usize = 64;
-/// Memory, in megabytes, below which no scheduler runs; stated limits are checked for sense only.
+/// Least memory that a scheduler needs, in megabytes. The limit in the file is only checked for plausibility.
 const MIN_MEMORY_MB: u32 = 16;
-/// Time after which idle connections to workers are closed where the settings state no limit, in milliseconds.
+/// Time after which idle connections to workers are closed if the settings state none, in milliseconds.
 pub const DEFAULT_IDLE_TIMEOUT: Millis = 10_000.0;
 const DEFAULT_NAME: &str = "scheduler";
 const DEFAULT_SEED: &str = "0";
 const SEED_RADIX: u32 = 16;
 
 impl Config {
-    /// Parses the text of the file at `path` and applies the overrides. Every error is one line that names the file
-    /// and what is wrong.
+    /// Parses the text of the file at `path` and applies the overrides.
     pub fn parse(path: &Path, text: &str, overrides: Overrides) -> Result<Config, ConfigError> {
         let file = || path.to_owned();
         let document: Document =
@@ -161,7 +160,7 @@
 }
 
 impl LimitsDocument {
-    /// Checks the limits; returns how many descriptors the process may hold.
+    /// Checks the limits; returns the limit of file descriptors.
     fn validate(&self, path: &Path) -> Result<usize, ConfigError> {
         let sockets = self.sockets.unwrap_or(DEFAULT_SOCKETS);
         if sockets < MIN_SOCKETS {
--- a/crates/protocol/src/error.rs
+++ b/crates/protocol/src/error.rs
@@ -1,38 +1,39 @@
-//! Why a configuration or an operators' file can't be used.
+//! Errors in the configuration and in the operators' file.
 
 use std::path::PathBuf;
 
-/// What is wrong with the configuration or with the operators' file. The text is one line that names the file, in the
-/// operators' file the line and the key too, and what would be right.
+/// An error in the configuration or in the operators' file. Its text is one line that names the file and what
+/// is wrong or expected; for the operators' file also the line and the key.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
-    /// The configuration is not the JSON document that is expected.
+    /// The configuration is invalid JSON, or has a missing field or a field of the wrong type.
     #[error(
-        "{}: not a configuration: broken JSON, or `settings` lacks a field or has a wrong type",
+        "{}: not a configuration: the JSON is invalid, `settings` or a field in it is missing, or a field \
+         has the wrong type",
         .file.display()
     )]
     InvalidDocument {
         /// The configuration.
         file: PathBuf,
     },
-    /// The configuration's settings name no class of jobs.
+    /// The configuration's settings define no class of jobs.
     #[error("{}: settings.classes is empty", .file.display())]
     NoClasses {
         /// The configuration.
         file: PathBuf,
     },
-    /// The process may hold too few file descriptors.
-    #[error("{}: limits.sockets is {value}; {min} at least", .file.display())]
+    /// The limit of file descriptors is too low.
+    #[error("{}: limits.sockets is {value}, must be at least {min} (file descriptors)", .file.display())]
     SocketLimitTooLow {
         /// The configuration.
         file: PathBuf,
-        /// The limit that it states.
+        /// The limit in the configuration.
         value: usize,
         /// The lowest limit accepted.
         min: usize,
     },
-    /// The process may use too little memory.
-    #[error("{}: limits.memory_mb is under {min}", .file.display())]
+    /// The memory limit is too low.
+    #[error("{}: limits.memory_mb must be at least {min} (megabytes)", .file.display())]
     MemoryLimitTooLow {
         /// The configuration.
         file: PathBuf,
@@ -40,7 +41,7 @@
         min: u32,
     },
     /// A field that has no default is missing.
-    #[error("{}: `{field}` is missing", .file.display())]
+    #[error("{}: required field `{field}` is missing", .file.display())]
     MissingField {
         /// The configuration.
         file: PathBuf,
@@ -48,36 +49,37 @@
         field: &'static str,
     },
     /// A field does not hold a socket address.
-    #[error("{}: {field} {value:?} is not an address with a port", .file.display())]
+    #[error("{}: {field} {value:?} is not an address with a port, such as 10.0.0.1:7100", .file.display())]
     InvalidAddress {
         /// The configuration.
         file: PathBuf,
         /// The field.
         field: &'static str,
-        /// What it holds.
+        /// Its value.
         value: String,
     },
     /// The seed is not a hexadecimal number of 64 bits.
-    #[error("{}: seed {value:?} is not hexadecimal", .file.display())]
+    #[error("{}: seed {value:?} is not a hexadecimal number of at most 64 bits", .file.display())]
     InvalidSeed {
         /// The configuration.
         file: PathBuf,
-        /// The seed as stated.
+        /// The seed's text.
         value: String,
     },
-    /// The operators' file is not TOML.
-    #[error("{}:{line}: not TOML: {message}", .file.display())]
+    /// The operators' file is not valid TOML.
+    #[error("{}:{line}: invalid TOML: {message}", .file.display())]
     InvalidToml {
         /// The operators' file.
         file: PathBuf,
         /// Line, from 1.
         line: usize,
-        /// What the TOML parser says.
+        /// The TOML parser's message.
         message: String,
     },
-    /// A key stands outside all tables.
+    /// A key at the top level holds a value instead of a table.
     #[error(
-        "{}:{line}: `{key}` must be a table: [control], [drain], [tier], [zones] or [handover]",
+        "{}:{line}: `{key}` must be a table, not a value: the tables are [control], [drain], [tier], [zones] \
+         and [handover]",
         .file.display()
     )]
     NotATable {
@@ -88,9 +90,10 @@
         /// The key.
         key: String,
     },
-    /// A table that is not known.
+    /// The file has a table that does not exist.
     #[error(
-        "{}:{line}: unknown table [{table}]: [control], [drain], [tier], [zones] and [handover] are known",
+        "{}:{line}: unknown table [{table}]: the tables are [control], [drain], [tier], [zones] and \
+         [handover]",
         .file.display()
     )]
     UnknownTable {
@@ -101,8 +104,8 @@
         /// The table.
         table: String,
     },
-    /// A key that its table does not know.
-    #[error("{}:{line}: unknown key {table}.{key}: known are {}", .file.display(), .known.join(", "))]
+    /// A table has a key that does not exist.
+    #[error("{}:{line}: unknown key {table}.{key}: the keys are {}", .file.display(), .known.join(", "))]
     UnknownKey {
         /// The operators' file.
         file: PathBuf,
@@ -112,11 +115,11 @@
         table: String,
         /// The key.
         key: String,
-        /// The keys that the table knows.
+        /// All keys of the table.
         known: Vec<&'static str>,
     },
-    /// A value of the wrong type or out of range.
-    #[error("{}:{line}: {table}.{key} must be {remedy}", .file.display())]
+    /// A value has the wrong type or is out of range.
+    #[error("{}:{line}: {table}.{key} must be {expected}", .file.display())]
     InvalidValue {
         /// The operators' file.
         file: PathBuf,
@@ -126,35 +129,39 @@
         table: String,
         /// The key.
         key: &'static str,
-        /// What would be right.
-        remedy: &'static str,
+        /// Type and range of a valid value.
+        expected: &'static str,
     },
-    /// A part that needs the cluster is on, and the cluster is off.
+    /// A feature that requires the cluster is enabled, but the cluster is disabled.
     #[error("{}:{line}: {table}.on needs tier.on = true: {reason}", .file.display())]
     ClusterRequired {
         /// The operators' file.
         file: PathBuf,
         /// Line of the table, from 1.
         line: usize,
-        /// The table of the part.
+        /// The feature's table.
         table: &'static str,
-        /// What it needs the cluster for.
+        /// Why the feature requires the cluster.
         reason: &'static str,
     },
-    /// A region names a zone that the configuration does not have.
-    #[error("{}:{line}: zones.regions names {zone:?}, which is no zone: known are {}", .file.display(), .known.join(", "))]
+    /// A region names a zone that is not in the configuration.
+    #[error(
+        "{}:{line}: zones.regions names {zone:?}, which is not a zone: the configuration's zones are {}",
+        .file.display(),
+        .known.join(", ")
+    )]
     UnknownZone {
         /// The operators' file.
         file: PathBuf,
         /// Line of the regions, from 1.
         line: usize,
-        /// The name.
+        /// The unknown name.
         zone: String,
         /// The configuration's zones.
         known: Vec<String>,
     },
-    /// A zone is named more than once.
-    #[error("{}:{line}: zones.regions names {zone:?} twice: a zone is in one region", .file.display())]
+    /// The regions name a zone more than once.
+    #[error("{}:{line}: zones.regions names {zone:?} twice: a zone belongs to one region", .file.display())]
     DuplicateZone {
         /// The operators' file.
         file: PathBuf,
@@ -163,9 +170,10 @@
         /// The zone.
         zone: String,
     },
-    /// There is not one link address for each scheduler.
+    /// The number of link addresses differs from the number of schedulers.
     #[error(
-        "{}:{line}: handover.links has {links} addresses and there are {schedulers} schedulers: give one for each, in the order of their ordinals",
+        "{}:{line}: handover.links has {links} addresses for {schedulers} schedulers: give one address for \
+         each scheduler, in the order of their ordinals",
         .file.display()
     )]
     LinkCount {
@@ -173,13 +181,17 @@
         file: PathBuf,
         /// Line of the addresses, from 1.
         line: usize,
-        /// How many there are.
+        /// Number of addresses.
         links: usize,
-        /// How many schedulers there are.
+        /// Number of schedulers in the configuration.
         schedulers: usize,
     },
-    /// A list names a class that the configuration does not have.
-    #[error("{}:{line}: handover.{key} names {class:?}, which is no class: known are {}", .file.display(), .known.join(", "))]
+    /// A list names a class that is not in the configuration.
+    #[error(
+        "{}:{line}: handover.{key} names {class:?}, which is not a class: the configuration's classes are {}",
+        .file.display(),
+        .known.join(", ")
+    )]
     UnknownClass {
         /// The operators' file.
         file: PathBuf,
@@ -187,14 +199,14 @@
         line: usize,
         /// The list's key.
         key: &'static str,
-        /// The name.
+        /// The unknown name.
         class: String,
         /// The configuration's classes.
         known: Vec<String>,
     },
-    /// A class whose jobs need replicas is not among those that are replicated.
+    /// A class whose jobs must not run without replicas is not replicated.
     #[error(
-        "{}:{line}: handover.refused names {class:?}, which handover.covered does not: add it there",
+        "{}:{line}: handover.refused names {class:?}, which is missing in handover.covered: add it there",
         .file.display()
     )]
     ClassNotReplicated {
--- a/crates/protocol/src/operations/cluster.rs
+++ b/crates/protocol/src/operations/cluster.rs
@@ -7,13 +7,13 @@
 /// Settings of the cluster.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterOptions {
-    /// Whether schedulers agree on members, and on one lease holder for each role.
+    /// Whether the schedulers agree on a member list, and on one lease holder for each role.
     pub enabled: bool,
-    /// Length of the leader's lease, in milliseconds.
+    /// Duration of the leader's lease, in milliseconds.
     pub lease_duration: Millis,
-    /// Number of voters on it: 3 or 5.
+    /// Number of schedulers that vote on the leader's lease: 3 or 5.
     pub voters: usize,
-    /// Directory where each scheduler stores the cluster's latest epoch, if anywhere.
+    /// Directory where each scheduler stores the latest epoch that it knows; without one it stores none.
     pub state_dir: Option<PathBuf>,
 }
 
@@ -26,16 +26,17 @@
 pub(super) const KEYS: &[Key<ClusterOptions>] = &[
     Key {
         name: "on",
-        remedy: "true or false",
+        expected: "true or false",
         set: |options, entry| {
             options.enabled = entry.boolean()?;
             Some(())
         },
     },
-    // A fifth of it is the time between two heartbeats; half a minute without a leader is more than anybody wants.
+    // The heartbeat interval is a fifth of it, and the cluster can be without a leader for as long as the
+    // lease lasts: half a minute is already too long.
     Key {
         name: "lease_ms",
-        remedy: "milliseconds, 500 to 30000",
+        expected: "a whole number of milliseconds, 500 to 30000",
         set: |options, entry| {
             options.lease_duration = entry.number(500.0..=30_000.0)?;
             Some(())
@@ -43,7 +44,7 @@
     },
     Key {
         name: "voters",
-        remedy: "3 or 5",
+        expected: "3 or 5",
         set: |options, entry| {
             options.voters = entry.number(3.0..=5.0).filter(|&voters| voters != 4.0)? as usize;
             Some(())
@@ -51,7 +52,7 @@
     },
     Key {
         name: "state_dir",
-        remedy: "a directory's path, such as \"/var/lib/brackenledge\"",
+        expected: "a directory's path, such as \"/var/lib/brackenledge\"",
         set: |options, entry| {
             options.state_dir = Some(PathBuf::from(entry.string()?));
             Some(())
--- a/crates/protocol/src/operations/drain.rs
+++ b/crates/protocol/src/operations/drain.rs
@@ -1,4 +1,4 @@
-//! `[drain]`: the drain (lame duck) that operators call.
+//! `[drain]`: draining a scheduler with `LAMEDUCK`.
 
 use super::reader::Key;
 use brackenledge_policy::Millis;
@@ -6,11 +6,11 @@
 /// Settings of the drain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrainOptions {
-    /// How long after LAMEDUCK jobs are still admitted, in milliseconds.
+    /// How long after `LAMEDUCK` jobs are still admitted, in milliseconds.
     pub admission_grace: Millis,
 }
 
-// The reason for the default stands in `engine::drain`.
+// The reason for the default is documented at `ADMISSION_GRACE` in the engine's `drain`.
 impl Default for DrainOptions {
     fn default() -> Self {
         DrainOptions { admission_grace: 1_500.0 }
@@ -18,10 +18,10 @@
 }
 
 pub(super) const KEYS: &[Key<DrainOptions>] = &[
-    // 4 s after the call no job younger than 2 s may be in flight.
+    // 4 s after `LAMEDUCK` no job younger than 2 s may be in flight, so admission must end before 2 s.
     Key {
         name: "takes_work_for_ms",
-        remedy: "milliseconds, 0 to 1900",
+        expected: "a whole number of milliseconds, 0 to 1900",
         set: |options, entry| {
             options.admission_grace = entry.number(0.0..=1_900.0)?;
             Some(())
--- a/crates/protocol/src/operations/failover.rs
+++ b/crates/protocol/src/operations/failover.rs
@@ -11,34 +11,34 @@
 pub struct FailoverOptions {
     /// Whether records of jobs are replicated to other schedulers.
     pub enabled: bool,
-    /// Where each scheduler accepts links from the others, by its number; our own entry is where we listen.
+    /// Listening address of each scheduler for connections from the others, in the order of the ordinals.
     pub links: Vec<SocketAddr>,
-    /// Classes whose jobs are replicated, by name.
+    /// Names of the classes whose jobs are replicated.
     pub replicated_classes: Vec<String>,
-    /// Of these, the ones whose jobs are rejected rather than run without replicas.
+    /// Names of those replicated classes whose jobs are rejected if they can't be replicated.
     pub replication_required: Vec<String>,
-    /// Replicas of each record beside its owner's.
+    /// Number of replicas of each record, not counting the owner's.
     pub replication_factor: usize,
-    /// Greatest number of records held.
+    /// Greatest number of records that a scheduler holds.
     pub max_records: usize,
     /// Greatest total size of replicated records, in bytes.
     pub max_bytes: usize,
-    /// How long a record outlives its job, in milliseconds.
+    /// How long a record is kept after its job has ended, in milliseconds.
     pub retention: Millis,
     /// How long a job waits for its claim to be granted, in milliseconds.
     pub claim_timeout: Millis,
-    /// Where the lists stand in the file.
+    /// Line numbers of the lists, for errors found when they are checked against the configuration.
     pub lines: FailoverLines,
 }
 
-/// Lines of the lists of `[handover]` in the operators' file, from 1; 0 where a list is not in it.
+/// Line numbers of the lists of `[handover]` in the operators' file, from 1; 0 for a list that is absent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FailoverLines {
-    /// Of `links`.
+    /// Line of the key `links`.
     pub links: usize,
-    /// Of `covered`.
+    /// Line of the key `covered`.
     pub replicated_classes: usize,
-    /// Of `refused`.
+    /// Line of the key `refused`.
     pub replication_required: usize,
 }
 
@@ -59,22 +59,22 @@
     }
 }
 
-/// In bytes.
+/// One megabyte (2^20) in bytes.
 const MEGABYTE: usize = 1 << 20;
 
 pub(super) const KEYS: &[Key<FailoverOptions>] = &[
     Key {
         name: "on",
-        remedy: "true or false",
+        expected: "true or false",
         set: |options, entry| {
             options.enabled = entry.boolean()?;
             Some(())
         },
     },
-    // A scheduler and all its replicas must be lost at once for a job to be; more than four only cost.
+    // A job is lost only if its owner and all replicas fail at once. More than four replicas only add cost.
     Key {
         name: "copies",
-        remedy: "a whole number of replicas, 1 to 4",
+        expected: "a whole number of replicas, 1 to 4",
         set: |options, entry| {
             options.replication_factor = entry.number(1.0..=4.0)? as usize;
             Some(())
@@ -82,7 +82,7 @@
     },
     Key {
         name: "records_most",
-        remedy: "a whole number of records, 100 to 1000000",
+        expected: "a whole number of records, 100 to 1000000",
         set: |options, entry| {
             options.max_records = entry.number(100.0..=1e6)? as usize;
             Some(())
@@ -90,16 +90,16 @@
     },
     Key {
         name: "megabytes_most",
-        remedy: "megabytes, 1 to 4096",
+        expected: "a whole number of megabytes, 1 to 4096",
         set: |options, entry| {
             options.max_bytes = entry.number(1.0..=4_096.0)? as usize * MEGABYTE;
             Some(())
         },
     },
-    // Clients that lost their connection come again within seconds.
+    // Clients whose connection was lost resend their job within seconds, and must find its record.
     Key {
         name: "keep_ms",
-        remedy: "milliseconds, 1000 to 600000",
+        expected: "a whole number of milliseconds, 1000 to 600000",
         set: |options, entry| {
             options.retention = entry.number(1_000.0..=600_000.0)?;
             Some(())
@@ -107,7 +107,7 @@
     },
     Key {
         name: "patience_ms",
-        remedy: "milliseconds, 100 to 60000",
+        expected: "a whole number of milliseconds, 100 to 60000",
         set: |options, entry| {
             options.claim_timeout = entry.number(100.0..=60_000.0)?;
             Some(())
@@ -115,12 +115,12 @@
     },
     Key {
         name: "links",
-        remedy: "a list of addresses with ports, one for each scheduler, such as [\"10.0.0.1:7100\"]",
+        expected: "a list of addresses with ports, one for each scheduler, such as [\"10.0.0.1:7100\"]",
         set: set_links,
     },
     Key {
         name: "covered",
-        remedy: "a list of classes, such as [\"market-sale\"]",
+        expected: "a list of classes, such as [\"market-sale\"]",
         set: |options, entry| {
             options.replicated_classes = entry.strings()?;
             options.lines.replicated_classes = entry.line();
@@ -129,7 +129,7 @@
     },
     Key {
         name: "refused",
-        remedy: "a list of classes, such as [\"market-sale\"]",
+        expected: "a list of classes, such as [\"market-sale\"]",
         set: |options, entry| {
             options.replication_required = entry.strings()?;
             options.lines.replication_required = entry.line();
@@ -145,7 +145,7 @@
 }
 
 impl FailoverOptions {
-    /// Checks that failover is on only where there is a cluster.
+    /// Checks that failover is enabled only if the cluster is.
     pub(super) fn check_cluster(&self, cluster_enabled: bool, source: &Source) -> Result<(), ConfigError> {
         if !self.enabled || cluster_enabled {
             return Ok(());
@@ -158,8 +158,8 @@
         })
     }
 
-    /// Checks, where failover is on, that each scheduler has a link address and that the lists name classes of the
-    /// configuration.
+    /// Checks, if failover is enabled, that each scheduler has a link address, that the lists name classes of
+    /// the configuration, and that the classes which require replication are replicated.
     pub(super) fn validate(
         &self,
         path: &Path,
@@ -192,7 +192,7 @@
     }
 }
 
-/// Checks that a list names only classes of the configuration.
+/// Checks that the list of `key` names only classes of the configuration.
 fn check_classes(
     path: &Path,
     line: usize,
--- a/crates/protocol/src/operations/mod.rs
+++ b/crates/protocol/src/operations/mod.rs
@@ -1,11 +1,11 @@
-//! The operators' own file (TOML): settings that operators change, apart from the site's configuration, which they do
-//! not. Every key is optional; what is missing keeps its default. Every error names the file, the line, the key and
-//! what would be right.
+//! The operators' file (TOML): settings that operators may change, separate from the site's configuration,
+//! which they don't change. Every key is optional and has a default. Every error names the file, the line,
+//! the key and what is expected.
 //!
 //! | table | module | what it sets |
 //! | --- | --- | --- |
 //! | `[control]` | `control` | the admin endpoint |
-//! | `[drain]` | `drain` | the drain (lame duck) |
+//! | `[drain]` | `drain` | draining with `LAMEDUCK` |
 //! | `[tier]` | `cluster` | the cluster of schedulers and its leases |
 //! | `[zones]` | `zone_routing` | routing of traffic between zones |
 //! | `[handover]` | `failover` | failover of jobs |
@@ -31,19 +31,19 @@
 /// The settings of the operators' file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Operations {
-    /// The admin endpoint.
+    /// `[control]`: the admin endpoint.
     pub control: ControlOptions,
-    /// The drain.
+    /// `[drain]`: draining with `LAMEDUCK`.
     pub drain: DrainOptions,
-    /// The cluster of schedulers.
+    /// `[tier]`: the cluster of schedulers.
     pub cluster: ClusterOptions,
-    /// Failover of jobs.
+    /// `[handover]`: failover of jobs.
     pub failover: FailoverOptions,
-    /// Routing of traffic between zones.
+    /// `[zones]`: routing of traffic between zones.
     pub zones: ZoneOptions,
 }
 
-/// What the operators' file must agree with in the configuration.
+/// The parts of the configuration that the operators' file refers to.
 #[derive(Clone, Debug)]
 pub struct Deployment {
     /// Names of the classes of jobs.
@@ -59,12 +59,9 @@
 enum Table {
     Control,
     Drain,
-    /// The cluster.
-    Tier,
-    /// Zone routing.
-    Zones,
-    /// Failover.
-    Handover,
+    Cluster,
+    ZoneRouting,
+    Failover,
 }
 
 impl Table {
@@ -72,32 +69,33 @@
         match name {
             "control" => Some(Table::Control),
             "drain" => Some(Table::Drain),
-            "tier" => Some(Table::Tier),
-            "zones" => Some(Table::Zones),
-            "handover" => Some(Table::Handover),
+            "tier" => Some(Table::Cluster),
+            "zones" => Some(Table::ZoneRouting),
+            "handover" => Some(Table::Failover),
             _ => None,
         }
     }
 }
 
 impl Operations {
-    /// Parses the text of the file at `path`.
+    /// Parses the text of the file at `path`, and checks that features that require the cluster are enabled
+    /// only with it.
     pub fn parse(path: &Path, text: &str) -> Result<Operations, ConfigError> {
         let source = Source { path, text };
         let document = source.parse()?;
         let mut operations = Operations::default();
         for (name, value) in document.get_ref() {
-            let (table, offset) = (name.get_ref().as_ref(), name.span().start);
+            let (table_name, offset) = (name.get_ref().as_ref(), name.span().start);
             let (file, line) = (path.to_owned(), source.line_at(offset));
             let DeValue::Table(entries) = value.get_ref() else {
-                return Err(ConfigError::NotATable { file, line, key: table.to_owned() });
+                return Err(ConfigError::NotATable { file, line, key: table_name.to_owned() });
             };
-            let Some(section) = Table::from_name(table) else {
-                return Err(ConfigError::UnknownTable { file, line, table: table.to_owned() });
+            let Some(table) = Table::from_name(table_name) else {
+                return Err(ConfigError::UnknownTable { file, line, table: table_name.to_owned() });
             };
             for (key, value) in entries {
                 let (key, key_offset) = (key.get_ref().as_ref(), key.span().start);
-                operations.set(section, &Entry { source, table, key, key_offset, value })?;
+                operations.set(table, &Entry { source, table_name, key, key_offset, value })?;
             }
         }
         let cluster_enabled = operations.cluster.enabled;
@@ -106,14 +104,14 @@
         Ok(operations)
     }
 
-    /// Sets the field of an entry of this table.
+    /// Sets the option that an entry of this table is for.
     fn set(&mut self, table: Table, entry: &Entry) -> Result<(), ConfigError> {
         match table {
             Table::Control => set_field(&mut self.control, control::KEYS, entry),
             Table::Drain => set_field(&mut self.drain, drain::KEYS, entry),
-            Table::Tier => set_field(&mut self.cluster, cluster::KEYS, entry),
-            Table::Zones => set_field(&mut self.zones, zone_routing::KEYS, entry),
-            Table::Handover => set_field(&mut self.failover, failover::KEYS, entry),
+            Table::Cluster => set_field(&mut self.cluster, cluster::KEYS, entry),
+            Table::ZoneRouting => set_field(&mut self.zones, zone_routing::KEYS, entry),
+            Table::Failover => set_field(&mut self.failover, failover::KEYS, entry),
         }
     }
 
--- a/crates/protocol/src/operations/reader.rs
+++ b/crates/protocol/src/operations/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the operators' file entry by entry and locates errors in it.
+//! Reads single entries of the operators' file, and locates errors in the file.
 
 use crate::ConfigError;
 use std::ops::RangeInclusive;
@@ -6,7 +6,7 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// The file's path and text.
+/// The operators' file: its path and text.
 #[derive(Clone, Copy)]
 pub(super) struct Source<'a> {
     pub path: &'a Path,
@@ -14,12 +14,12 @@
 }
 
 impl<'a> Source<'a> {
-    /// The line of a byte offset, from 1.
+    /// The line number of a byte offset, from 1.
     pub fn line_at(&self, offset: usize) -> usize {
         self.text[..offset.min(self.text.len())].matches('\n').count() + 1
     }
 
-    /// The line where a table begins; 1 if it is not found.
+    /// The line number of a table's header, from 1; 1 if there is no such header.
     pub fn line_of_table(&self, table: &str) -> usize {
         self.line_at(self.text.find(&format!("[{table}]")).unwrap_or(0))
     }
@@ -34,10 +34,10 @@
     }
 }
 
-/// A key of a table with its value.
+/// A key of a table, with its value.
 pub(super) struct Entry<'a> {
     pub source: Source<'a>,
-    pub table: &'a str,
+    pub table_name: &'a str,
     pub key: &'a str,
     /// Byte offset of the key.
     pub key_offset: usize,
@@ -45,7 +45,7 @@
 }
 
 impl Entry<'_> {
-    /// The key's line, from 1.
+    /// The line number of the key, from 1.
     pub fn line(&self) -> usize {
         self.source.line_at(self.key_offset)
     }
@@ -73,7 +73,7 @@
         }
     }
 
-    /// The value, if it is a list of strings.
+    /// The value, if it is an array of strings.
     pub fn strings(&self) -> Option<Vec<String>> {
         let DeValue::Array(items) = self.value.get_ref() else { return None };
         let string = |item: &Spanned<DeValue>| match item.get_ref() {
@@ -84,35 +84,35 @@
     }
 }
 
-/// A key that a section knows.
-pub(super) struct Key<Section> {
+/// A key of a table whose options are an `Options`.
+pub(super) struct Key<Options> {
     pub name: &'static str,
-    /// What a right value is, as the error for a wrong one says it.
-    pub remedy: &'static str,
-    /// Sets the section's field; `None` if the value is of a wrong type or out of range.
-    pub set: fn(&mut Section, &Entry) -> Option<()>,
+    /// Type and range of a valid value, as the error for an invalid one states them.
+    pub expected: &'static str,
+    /// Sets the option; `None` if the value has the wrong type or is out of range.
+    pub set: fn(&mut Options, &Entry) -> Option<()>,
 }
 
-/// Sets the field of a section that an entry is for.
-pub(super) fn set_field<Section>(
-    section: &mut Section,
-    keys: &[Key<Section>],
+/// Sets the option that an entry is for. `keys`: all keys of the entry's table.
+pub(super) fn set_field<Options>(
+    options: &mut Options,
+    keys: &[Key<Options>],
     entry: &Entry,
 ) -> Result<(), ConfigError> {
     let Some(key) = keys.iter().find(|key| key.name == entry.key) else {
         return Err(ConfigError::UnknownKey {
             file: entry.source.path.to_owned(),
             line: entry.line(),
-            table: entry.table.to_owned(),
+            table: entry.table_name.to_owned(),
             key: entry.key.to_owned(),
             known: keys.iter().map(|key| key.name).collect(),
         });
     };
-    (key.set)(section, entry).ok_or_else(|| ConfigError::InvalidValue {
+    (key.set)(options, entry).ok_or_else(|| ConfigError::InvalidValue {
         file: entry.source.path.to_owned(),
         line: entry.source.line_at(entry.value.span().start),
-        table: entry.table.to_owned(),
+        table: entry.table_name.to_owned(),
         key: key.name,
-        remedy: key.remedy,
+        expected: key.expected,
     })
 }
--- a/crates/protocol/src/operations/zone_routing.rs
+++ b/crates/protocol/src/operations/zone_routing.rs
@@ -4,21 +4,22 @@
 use crate::ConfigError;
 use std::path::Path;
 
-/// Settings of locality-aware routing.
+/// Settings of zone routing.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneOptions {
-    /// Whether a lease holder plans where each zone's traffic goes.
+    /// Whether the scheduler that holds the planning role plans which zones each zone's traffic goes to.
     pub enabled: bool,
-    /// Zones that are near one another, by name; those that are in none share one region.
+    /// The regions, each with the names of zones that are near one another. All other zones form one more
+    /// region.
     pub regions: Vec<Vec<String>>,
-    /// Line of `regions` in the file, from 1; 0 if it is not there.
+    /// Line number of `regions` in the file, from 1; 0 if it is not in the file.
     pub regions_line: usize,
 }
 
 pub(super) const KEYS: &[Key<ZoneOptions>] = &[
     Key {
         name: "on",
-        remedy: "true or false",
+        expected: "true or false",
         set: |options, entry| {
             options.enabled = entry.boolean()?;
             Some(())
@@ -26,7 +27,7 @@
     },
     Key {
         name: "regions",
-        remedy: "a list of regions, each the names of its zones, such as [\"north-a north-b\", \"south\"]",
+        expected: "a list of regions, each the names of its zones, such as [\"north-a north-b\", \"south\"]",
         set: |options, entry| {
             let zone_names = |region: &String| region.split_whitespace().map(str::to_owned).collect();
             options.regions = entry.strings()?.iter().map(zone_names).collect();
@@ -37,7 +38,7 @@
 ];
 
 impl ZoneOptions {
-    /// Checks that routing is on only where there is a cluster.
+    /// Checks that zone routing is enabled only if the cluster is.
     pub(super) fn check_cluster(&self, cluster_enabled: bool, source: &Source) -> Result<(), ConfigError> {
         if !self.enabled || cluster_enabled {
             return Ok(());
@@ -46,7 +47,7 @@
             file: source.path.to_owned(),
             line: source.line_of_table("zones"),
             table: "zones",
-            reason: "the plan is made by one scheduler, which holds a role of the cluster",
+            reason: "the plan is made by the scheduler that holds the planning role, a lease of the cluster",
         })
     }
 
--- a/crates/protocol/tests/operations.rs
+++ b/crates/protocol/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Reading of the operators' file, its errors, and its validation against the configuration.
+//! Parsing of the operators' file, its errors, and its validation against the configuration.
 #![allow(missing_docs)]
 
 use brackenledge_protocol::ConfigError;
@@ -15,7 +15,7 @@
     Operations::parse(path(), text)
 }
 
-/// Two schedulers, with two classes and two zones.
+/// A deployment of two schedulers, two classes and two zones.
 fn deployment() -> Deployment {
     Deployment {
         classes: vec!["farm-view".into(), "market-sale".into()],
@@ -25,11 +25,11 @@
 }
 
 #[test]
-fn regions_name_existing_zones_once_each() {
+fn regions_name_existing_zones_at_most_once() {
     let validate = |regions: &str| {
         let text = format!("[tier]\non = true\n[zones]\non = true\nregions = {regions}\n");
         let deployment = Deployment { classes: Vec::new(), ..deployment() };
-        parse(&text).expect("it reads").validate(path(), &deployment)
+        parse(&text).expect("a valid file").validate(path(), &deployment)
     };
     assert_eq!(validate("[\"north south\"]"), Ok(()));
     assert_eq!(validate("[]"), Ok(()));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_file_as_shipped_and_an_empty_one_read_as_the_defaults() {
+fn the_shipped_file_and_an_empty_one_give_the_defaults() {
     let shipped = include_str!("../../../deploy/operations.toml");
     let mut shipped_operations = parse(shipped).expect("the file as shipped");
     (shipped_operations.failover.lines, shipped_operations.zones.regions_line) =
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn what_contradicts_the_configuration_is_reported_by_line_and_key() {
+fn contradictions_to_the_configuration_are_reported_with_line_and_key() {
     let validate = |text: &str| {
         let text = format!("[tier]\non = true\n[handover]\non = true\n{text}");
         parse(&text)?.validate(path(), &deployment())
@@ -72,11 +72,11 @@
         Ok(())
     );
     let cases = [
-        ("links = [\"127.0.0.1:1\"]\n".to_owned(), ":5: handover.links has 1 addresses and there are 2"),
-        (format!("{links}covered = [\"x\"]\n"), ":6: handover.covered names \"x\", which is no class"),
+        ("links = [\"127.0.0.1:1\"]\n".to_owned(), ":5: handover.links has 1 addresses for 2 schedulers"),
+        (format!("{links}covered = [\"x\"]\n"), ":6: handover.covered names \"x\", which is not a class"),
         (
             format!("{links}refused = [\"farm-view\"]\n"),
-            ":6: handover.refused names \"farm-view\", which handover.c",
+            ":6: handover.refused names \"farm-view\", which is missing in handover.c",
         ),
     ];
     for (text, wanted) in cases {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn each_error_names_the_file_the_line_the_key_and_the_remedy() {
+fn each_error_names_file_line_key_and_what_is_expected() {
     let cases = [
         (
             "[control]\ncallers_most = 0\n",
@@ -94,21 +94,25 @@
         ),
         (
             "[control]\n\nline_time_ms = \"8s\"\n",
-            "deploy/operations.toml:3: control.line_time_ms must be milliseconds",
+            "deploy/operations.toml:3: control.line_time_ms must be a whole number of milliseconds",
         ),
         (
             "[drain]\ntakes_work_for_ms = 2500\n",
-            "deploy/operations.toml:2: drain.takes_work_for_ms must be milliseconds, 0 to 1900",
+            "deploy/operations.toml:2: drain.takes_work_for_ms must be a whole number of milliseconds, \
+             0 to 1900",
         ),
         (
             "[drain]\nlinger = 3\n",
-            "deploy/operations.toml:2: unknown key drain.linger: known are takes_work_for_ms",
+            "deploy/operations.toml:2: unknown key drain.linger: the keys are takes_work_for_ms",
         ),
         ("[tier]\non = 1\n", "deploy/operations.toml:2: tier.on must be true or false"),
         ("[tier]\nstate_dir = 1\n", "deploy/operations.toml:2: tier.state_dir must be a directory's path"),
         ("[tier]\nstate_dir = \"\"\n", "deploy/operations.toml:2: tier.state_dir must be a directory's path"),
         ("[tier]\nvoters = 4\n", "deploy/operations.toml:2: tier.voters must be 3 or 5"),
-        ("[tier]\nlease_ms = 100\n", "deploy/operations.toml:2: tier.lease_ms must be milliseconds, 500"),
+        (
+            "[tier]\nlease_ms = 100\n",
+            "deploy/operations.toml:2: tier.lease_ms must be a whole number of milliseconds, 500",
+        ),
         ("[zones]\non = true\n", "deploy/operations.toml:1: zones.on needs tier.on = true"),
         ("[zones]\nregions = [1]\n", "deploy/operations.toml:2: zones.regions must be a list of regions"),
         ("[handover]\non = true\n", "deploy/operations.toml:1: handover.on needs tier.on = true"),
@@ -126,7 +130,7 @@
         ),
         ("[doors]\n", "deploy/operations.toml:1: unknown table [doors]"),
         ("callers_most = 3\n", "deploy/operations.toml:1: `callers_most` must be a table"),
-        ("[control]\ncallers_most = \n", "deploy/operations.toml:2: not TOML"),
+        ("[control]\ncallers_most = \n", "deploy/operations.toml:2: invalid TOML"),
     ];
     for (text, start) in cases {
         let error = parse(text).expect_err(text).to_string();
--- a/crates/protocol/tests/operations_golden.rs
+++ b/crates/protocol/tests/operations_golden.rs
@@ -1,8 +1,9 @@
-//! Every key of the operators' file, pinned in one literal text with values that are not the defaults.
+//! Golden tests of the operators' file: one literal text that sets every key to a value other than its
+//! default.
 //!
-//! Operators' files outlive the build that they were written for: a key must go on to mean the same when names in the
-//! source change. The text holds all keys that the build of commit 72e1d57 knows, and the values that it reads; a test
-//! that fails here means that a file that was right is refused or read otherwise.
+//! Operators' files outlive the build that they were written for, so the meaning of a key must not change
+//! when identifiers in the source do. The text has all keys of commit 72e1d57, with the values that were read
+//! then. A failure means that a valid file is now rejected or read differently.
 #![allow(missing_docs)]
 
 use brackenledge_protocol::operations::{
@@ -44,7 +45,7 @@
 }
 
 #[test]
-fn every_key_of_the_operators_file_is_read_as_this_value() {
+fn every_key_sets_its_value() {
     let wanted = Operations {
         control: ControlOptions { max_clients: 33, line_timeout: 9_001.0 },
         drain: DrainOptions { admission_grace: 1_202.0 },
@@ -79,7 +80,7 @@
 }
 
 #[test]
-fn the_defaults_are_these_values() {
+fn an_empty_file_gives_these_defaults() {
     let wanted = Operations {
         control: ControlOptions { max_clients: 16, line_timeout: 8_000.0 },
         drain: DrainOptions { admission_grace: 1_500.0 },
@@ -102,11 +103,11 @@
 }
 
 #[test]
-fn the_file_as_shipped_names_every_key_of_the_literal_text_and_no_other() {
+fn the_shipped_file_has_exactly_the_keys_of_the_golden_text() {
     let keys = |text: &str| {
         let (mut table, mut keys) = (String::new(), Vec::new());
         for line in text.lines() {
-            // The one key that has no default is shown in a comment.
+            // The only key without a default is commented out in the file.
             let line = if line.starts_with("# state_dir = ") { &line[2..] } else { line };
             if let Some(name) = line.strip_prefix('[') {
                 table = name.trim_end_matches(']').to_owned();
