--- a/crates/protocol/src/control.rs
+++ b/crates/protocol/src/control.rs
@@ -1,66 +1,66 @@
-//! The protocol of the admin endpoint: one line a connection with one call, and a reply that begins with `done` or
-//! `error`.
+//! The protocol of the admin endpoint: each connection carries one line with one call, and a reply that
+//! begins with `done` or `error`.
 //!
-//! This module parses calls and encodes errors; what the calls do is the daemon's and the engine's.
+//! This module parses calls and encodes error replies; the daemon and the engine execute the calls.
 
-/// Limit of a line in bytes, its end included. The longest call has eight letters: whatever is longer is no call, and
-/// a client can't make the endpoint buffer more than this for it.
+/// Limit of a line in bytes, including the line end. The longest call has eight letters, so a longer line is
+/// invalid, and a client can't make the endpoint buffer more than this.
 pub const MAX_LINE_BYTES: usize = 64;
 
-/// A call that an operator may make.
+/// A call to the admin endpoint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Whether this process can serve.
+    /// Reports whether the scheduler can serve.
     Ping,
-    /// The figures.
+    /// Reports the counters and gauges.
     Info,
-    /// Drain the scheduler: admit no new jobs, finish those that were admitted.
+    /// Drains the scheduler: it finishes admitted jobs and admits no new ones.
     LameDuck,
-    /// Serve again after a drain.
+    /// Ends a drain: the scheduler serves again.
     Rejoin,
-    /// The cluster's members and the state of each.
+    /// Lists the cluster's members with their states.
     Members,
-    /// The holder of each role's lease.
+    /// Lists the holder of each role's lease.
     Duties,
-    /// The traffic plan for zones.
+    /// Shows the traffic plan for zones.
     Zones,
 }
 
-/// Why a line is rejected. Its text is the reason that the reply gives.
+/// Why a line is rejected. The text is part of the reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum LineError {
-    /// Longer than [`MAX_LINE_BYTES`].
+    /// The line is longer than [`MAX_LINE_BYTES`].
     #[error("line too long")]
     TooLong,
-    /// Bytes that are not printable ASCII.
+    /// The line contains bytes other than printable ASCII, space and tab.
     #[error("line is not plain text")]
     NotText,
-    /// Nothing but its end.
+    /// The line has no text.
     #[error("empty line")]
     Empty,
-    /// A word that names no call.
+    /// The line names no known call.
     #[error("unknown call")]
     Unknown,
-    /// More came after the line.
+    /// The client sent more after the line.
     #[error("one call a connection")]
     SecondLine,
-    /// The line was not complete in the time given.
+    /// The line was not complete within the time limit.
     #[error("no whole line in time")]
     TooSlow,
 }
 
-/// The result of parsing what has arrived on a connection so far.
+/// The result of parsing a connection's input so far.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Parsed {
     /// The line is not complete yet.
     Partial,
     /// A complete call.
     Call(Call),
-    /// No call: the reply is an error, and the connection closes.
+    /// The input is invalid: the reply is an error, and the connection is closed.
     Rejected(LineError),
 }
 
-/// Parses what has arrived on an open connection so far. A line ends in LF, with or without CR before it.
+/// Parses the input so far of a connection that may send more. A line ends in LF or CRLF.
 pub fn parse_line(input: &[u8]) -> Parsed {
     if !input.contains(&b'\n') && input.len() < MAX_LINE_BYTES {
         return Parsed::Partial;
@@ -71,7 +71,8 @@
     }
 }
 
-/// Parses all that has arrived on a connection whose client has closed its side, which ends a line too.
+/// Parses the whole input of a connection whose client has closed its side. The end of the input ends the
+/// line too.
 pub fn parse_last_line(input: &[u8]) -> Result<Call, LineError> {
     let end = input.iter().position(|&byte| byte == b'\n');
     let line = &input[..end.unwrap_or(input.len())];
@@ -84,12 +85,12 @@
     parse_call(line.strip_suffix(b"\r").unwrap_or(line))
 }
 
-/// Parses a line without its end.
+/// Parses a line without its line end.
 fn parse_call(line: &[u8]) -> Result<Call, LineError> {
     if !line.iter().all(|&byte| byte == b' ' || byte == b'\t' || byte.is_ascii_graphic()) {
         return Err(LineError::NotText);
     }
-    // Checked to be ASCII just now.
+    // The check above ensures ASCII.
     let text = std::str::from_utf8(line).unwrap_or_default().trim();
     if text.is_empty() {
         return Err(LineError::Empty);
@@ -106,7 +107,7 @@
     }
 }
 
-/// The reply to a line that is rejected.
+/// Encodes the reply to a rejected line.
 pub fn error_reply(error: LineError) -> String {
     format!("error {error}\n")
 }
--- a/crates/protocol/src/http/body.rs
+++ b/crates/protocol/src/http/body.rs
@@ -1,31 +1,31 @@
-//! Bodies: their framing is removed in place, as far as it has come.
+//! Incremental decoding of bodies: removes the framing in place from what has been received.
 
 use super::buffer::Buffer;
 use super::headers::single;
 use super::{MAX_HEAD_BYTES, Malformed};
 
-/// Limit of the line that states a chunk's size, in bytes.
+/// Limit of the line that states a chunk's size, including chunk extensions, in bytes.
 const MAX_CHUNK_SIZE_LINE_BYTES: usize = 256;
 
-/// What of a body's framing comes next.
+/// The part of a body that is expected next.
 #[derive(Clone, Copy, Debug)]
 enum BodyState {
-    /// So many bytes of payload, and then the end.
+    /// Payload of stated length: the number of bytes left.
     Length(usize),
     /// Payload until the connection ends.
     UntilEnd,
     /// The line with a chunk's size.
     ChunkSize,
-    /// So many bytes of a chunk.
+    /// A chunk's payload: the number of bytes left.
     Chunk(usize),
-    /// The line end behind a chunk.
+    /// The line end after a chunk.
     ChunkEnd,
-    /// Trailer lines, of so many bytes at most.
+    /// Trailer lines: the number of bytes that they may still take.
     Trailer(usize),
     Done,
 }
 
-/// One step of a body's parser: what comes next, and the bytes of framing and then of payload that were parsed.
+/// One step of the parser: the next state, and how many bytes of framing and of payload after it were parsed.
 struct Step {
     next: BodyState,
     framing: usize,
@@ -37,35 +37,37 @@
         Some(Step { next, framing, payload: 0 })
     }
 
-    /// `None` if no payload has come.
+    /// `None` if no payload has been received.
     fn payload(next: BodyState, payload: usize) -> Option<Step> {
         (payload > 0).then_some(Step { next, framing: 0, payload })
     }
 }
 
-/// A parser of a message's body: removes the framing from the front of a buffer's input, as far as it has come.
+/// A parser of a message's body. Decoded payload stays at the front of the buffer's input until it is taken.
 #[derive(Clone, Copy, Debug)]
 pub struct Body {
     state: BodyState,
+    /// Number of bytes of decoded payload at the front of the input.
     ready: usize,
+    /// Limit of the payload held at once, in bytes.
     max_bytes: usize,
 }
 
 impl Body {
-    /// The body that a head announces. `until_end_by_default`: one of unstated length lasts until the connection
-    /// ends, as in responses. `max_bytes`: limit of the payload held at once.
+    /// Parser of the body that these headers announce. `until_end_by_default`: a body without a stated length
+    /// lasts until the connection ends, as in responses. `max_bytes`: limit of the payload held at once.
     pub(super) fn from_headers(
         headers: &[httparse::Header],
         until_end_by_default: bool,
         max_bytes: usize,
     ) -> Result<Self, Malformed> {
-        // Repeated or unreadable, either one leaves open where the message ends, and what is taken for the next
-        // request may be one that was hidden in this one's body.
+        // If either header is repeated or unreadable, the end of the message is ambiguous, and part of this
+        // body could be taken for the next request (request smuggling).
         let length = single(headers, "Content-Length")?;
         let coding = single(headers, "Transfer-Encoding")?;
         let state = match (length, coding) {
             (None, Some(coding)) if coding.eq_ignore_ascii_case("chunked") => BodyState::ChunkSize,
-            // Both at once, or another coding, leave open where the message ends.
+            // With both headers, or with another coding, the end of the message is ambiguous.
             (_, Some(_)) => return Err(Malformed::Framing),
             (Some(length), None) => BodyState::Length(parse_length(length, max_bytes)?),
             (None, None) if until_end_by_default => BodyState::UntilEnd,
@@ -74,20 +76,21 @@
         Ok(Body { state, ready: 0, max_bytes })
     }
 
-    /// How many bytes at the input's front are the body's payload.
+    /// Number of bytes of decoded payload at the front of the input.
     pub fn ready(&self) -> usize {
         self.ready
     }
 
-    /// Whether it lasts until the connection ends.
+    /// Whether the body lasts until the connection ends.
     pub fn until_end(&self) -> bool {
         matches!(self.state, BodyState::UntilEnd)
     }
 
-    /// Removes the framing of what has come; tells whether the body is complete.
+    /// Decodes the input received so far; returns whether the body is complete.
     pub fn advance(&mut self, buffer: &mut Buffer) -> Result<bool, Malformed> {
-        // Payload moves down over the framing before it, and the gap is closed once: closing one gap for each
-        // chunk would let a body of tiny chunks hold up the loop.
+        // Each chunk's payload is moved down over the framing before it, and the input behind all chunks is
+        // moved once at the end. Moving it for each chunk would let a body of tiny chunks block the event
+        // loop.
         let mut position = self.ready;
         let result = loop {
             if matches!(self.state, BodyState::Done) {
@@ -107,11 +110,11 @@
                 break Err(Malformed::TooLarge);
             }
         };
-        buffer.cut(self.ready, position - self.ready);
+        buffer.remove(self.ready, position - self.ready);
         result
     }
 
-    /// Parses what comes next from `raw`; `None` if it has not all come.
+    /// Parses the next part of the body from `raw`; `None` if more input is needed.
     fn step(&self, raw: &[u8]) -> Result<Option<Step>, Malformed> {
         let available = raw.len();
         match self.state {
@@ -146,7 +149,7 @@
         }
     }
 
-    /// Takes one line of what is ready, without its end.
+    /// Takes one line of the decoded payload, trimmed; `None` if no line is complete.
     pub fn take_line(&mut self, buffer: &mut Buffer) -> Option<Vec<u8>> {
         let end = buffer.input()[..self.ready].iter().position(|&b| b == b'\n')?;
         let line = buffer.input()[..end].trim_ascii().to_vec();
@@ -155,7 +158,7 @@
         Some(line)
     }
 
-    /// Takes all that is ready.
+    /// Takes all decoded payload.
     pub fn take_all(&mut self, buffer: &mut Buffer) -> Vec<u8> {
         let all = buffer.input()[..self.ready].to_vec();
         buffer.consume(self.ready);
@@ -164,7 +167,8 @@
     }
 }
 
-/// Parses one trailer line, or the empty line that ends a body.
+/// Parses one trailer line, or the empty line that ends the body. `left`: limit of the trailer's length in
+/// bytes.
 fn parse_trailer(raw: &[u8], left: usize) -> Result<Option<Step>, Malformed> {
     match raw.iter().position(|&byte| byte == b'\n') {
         Some(1) if raw[0] == b'\r' => Ok(Step::framing(BodyState::Done, 2)),
@@ -176,12 +180,12 @@
     }
 }
 
-/// Parses the value of Content-Length.
+/// Parses the value of `Content-Length`.
 fn parse_length(text: &str, max_bytes: usize) -> Result<usize, Malformed> {
     if text.is_empty() || !text.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(Malformed::Framing);
     }
-    // Digits that overflow state a size that is surely too large.
+    // The text has digits only, so an error means overflow.
     let length = text.parse().map_err(|_| Malformed::TooLarge)?;
     if length > max_bytes { Err(Malformed::TooLarge) } else { Ok(length) }
 }
--- a/crates/protocol/src/http/buffer.rs
+++ b/crates/protocol/src/http/buffer.rs
@@ -1,23 +1,24 @@
-//! The one buffer of each connection.
+//! A connection's input and output in one buffer.
 
 use std::io::{self, Read};
 
-/// How many bytes one read can take.
+/// Limit of one read, in bytes.
 const READ_CHUNK_BYTES: usize = 8 * 1024;
-/// Capacity in bytes that a buffer retains while it holds little: hundreds of connections share a few dozen megabytes.
+/// Capacity in bytes above which a buffer shrinks once it holds less than half of this: hundreds of
+/// connections share a few dozen megabytes.
 const RETAINED_CAPACITY: usize = 16 * 1024;
 
-/// A connection's only buffer: output not yet written, then input not yet consumed. What was written or
-/// consumed leaves gaps, which are closed in place when room is needed.
+/// The buffer of a connection. It holds the output that is not yet written, followed by the input that is not
+/// yet consumed. Written output and consumed input leave gaps, which [`Buffer::compact`] removes.
 ///
 /// Invariant: `written <= output_end <= input_start <= data.len()`.
 #[derive(Default)]
 pub struct Buffer {
     data: Vec<u8>,
-    /// Where output begins: what stands before it is written.
+    /// Start of the output; the bytes before it are already written.
     written: usize,
     output_end: usize,
-    /// Where input begins, up to the end of `data`. What stands between output and input is consumed.
+    /// Start of the input, which ends with `data`. The bytes between output and input are already consumed.
     input_start: usize,
 }
 
@@ -32,37 +33,37 @@
         &self.data[self.written..self.output_end]
     }
 
-    /// Drops that much of the input's front.
+    /// Discards `count` bytes from the front of the input, or all input if it is shorter.
     pub fn consume(&mut self, count: usize) {
         self.input_start = (self.input_start + count).min(self.data.len());
     }
 
-    /// Moves `count` bytes of the input down, from `from` to `to` bytes after its front.
+    /// Copies `count` bytes within the input from offset `from` to the lower offset `to`.
     pub(super) fn move_down(&mut self, from: usize, to: usize, count: usize) {
         let start = self.input_start + from;
         self.data.copy_within(start..start + count, self.input_start + to);
     }
 
-    /// Removes `count` bytes from the input, `at` bytes after its front.
-    pub(super) fn cut(&mut self, at: usize, count: usize) {
+    /// Removes `count` bytes from the input at offset `at`.
+    pub(super) fn remove(&mut self, at: usize, count: usize) {
         let from = self.input_start + at;
         self.data.copy_within(from + count.., from);
         self.data.truncate(self.data.len() - count);
     }
 
-    /// Adds output behind what waits to be written.
+    /// Appends output. Gaps between output and input are removed.
     pub fn push(&mut self, bytes: &[u8]) {
         self.data.splice(self.output_end..self.input_start, bytes.iter().copied());
         self.output_end += bytes.len();
         self.input_start = self.output_end;
     }
 
-    /// Notes that so much of the output was written.
+    /// Records that `count` bytes of the output were written.
     pub fn wrote(&mut self, count: usize) {
         self.written += count;
     }
 
-    /// Closes both gaps.
+    /// Removes both gaps, and shrinks the buffer if it holds little.
     pub fn compact(&mut self) {
         self.data.drain(self.output_end..self.input_start);
         self.data.drain(..self.written);
@@ -73,7 +74,7 @@
         }
     }
 
-    /// Reads once into the room behind the input.
+    /// Reads once from `source` and appends the bytes to the input; 0 if `source` has ended.
     pub fn read_from(&mut self, source: &mut impl Read) -> io::Result<usize> {
         self.compact();
         let length = self.data.len();
--- a/crates/protocol/src/http/mod.rs
+++ b/crates/protocol/src/http/mod.rs
@@ -1,14 +1,14 @@
-//! HTTP/1.1 framing on httparse.
+//! HTTP/1.1 framing, with httparse as the parser of heads.
 //!
 //! | module | what it does |
 //! | --- | --- |
-//! | `buffer` | the one buffer of each connection |
-//! | `body` | removes the framing of bodies: lengths and chunks |
+//! | `buffer` | a connection's input and output in one buffer |
+//! | `body` | decodes bodies of stated length and chunked bodies |
 //! | `request_head` | heads of clients' requests |
 //! | `response` | heads of responses to clients |
 //! | `response_head` | heads of responses from workers and discovery |
-//! | `headers` | single headers of a head |
-//! | `request_error` | why a request is rejected before it becomes a job |
+//! | `headers` | finds and checks headers of a parsed head |
+//! | `request_error` | reasons to reject a request, with their status codes |
 
 mod body;
 mod buffer;
@@ -25,20 +25,20 @@
 pub use self::response::{CONTINUE, ClientResponseHead};
 pub use self::response_head::ResponseHead;
 
-/// Limit of a body in bytes, by the platform's protocol.
+/// Limit of a request's body in bytes, set by the platform's protocol.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Limit of a message's head, in bytes.
+/// Limit of a message's head in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Limit of header lines in one message.
+/// Limit of the number of header lines in a message.
 pub const MAX_HEADERS: usize = 64;
 
 /// Why a message can't be parsed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// It breaks the framing.
-    #[error("the message's framing is broken")]
+    /// The framing is invalid or ambiguous.
+    #[error("the message's framing is invalid")]
     Framing,
-    /// Its body is larger than allowed.
+    /// The body is larger than allowed.
     #[error("the message's body is too large")]
     TooLarge,
 }
--- a/crates/protocol/src/http/request_error.rs
+++ b/crates/protocol/src/http/request_error.rs
@@ -1,59 +1,59 @@
-//! Why a request is rejected before it becomes a job.
+//! Reasons to reject a request before it becomes a job.
 
 use super::Malformed;
 
-/// Why a request is rejected before it becomes a job. Its text is the line that the client is told.
+/// Why a request is rejected before it becomes a job. The text is sent to the client as the response's body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The head is not one of HTTP/1.0 or HTTP/1.1.
+    /// The head is not a valid head of HTTP/1.0 or HTTP/1.1.
     #[error("not an HTTP request")]
     NotHttp,
-    /// A line of the head ends in a bare line feed: others may see a different message in it.
+    /// A line of the head ends in LF without CR, which other parsers may interpret differently.
     #[error("a line ends without a carriage return")]
     BareLineFeed,
-    /// The head is longer, or has more header lines, than allowed.
+    /// The head has more bytes or more header lines than allowed.
     #[error("the head is too large")]
     HeadTooLarge,
-    /// The head leaves open where the body ends, or the body does not keep to its framing.
+    /// The end of the body is ambiguous, or the body violates its framing.
     #[error("the body's framing is broken")]
     BodyFraming,
     /// The body is larger than allowed.
     #[error("the body is larger than 64 KiB")]
     BodyTooLarge,
-    /// The request did not arrive completely in the time given.
+    /// The request was not complete within the time limit.
     #[error("the request did not come to its end")]
     Timeout,
-    /// A job came by another method than POST.
+    /// The method is not POST.
     #[error("jobs arrive by POST")]
     MethodNotAllowed,
-    /// The target holds other bytes than printable ASCII.
+    /// The target contains bytes other than printable ASCII.
     #[error("the target is not plain text")]
     InvalidTarget,
-    /// A header that may be there once is repeated, or is not printable ASCII.
+    /// A header that may occur only once is repeated, or is not printable ASCII.
     #[error("a header is repeated or not plain text")]
     AmbiguousHeader,
-    /// A header that jobs must have is missing or empty.
+    /// A required header is missing or empty. The header's name.
     #[error("{0} is missing")]
     MissingHeader(&'static str),
-    /// A header does not hold a number that is finite and not negative.
+    /// A header is not a finite, non-negative number. The header's name.
     #[error("{0} is no number")]
     InvalidNumber(&'static str),
-    /// A property of `X-Props` is not such a number.
+    /// A value in `X-Props` is not a finite, non-negative number.
     #[error("X-Props holds what is no number")]
     InvalidProperty,
     /// `X-Trace-Id` is too long or not printable ASCII.
     #[error("X-Trace-Id is no id")]
     InvalidTraceId,
-    /// No class has the name that is stated.
+    /// The class does not exist.
     #[error("unknown class")]
     UnknownClass,
     /// The path and `X-Qos` name different classes.
     #[error("the path names another class than X-Qos")]
     ClassMismatch,
-    /// No tenant has the name that is stated.
+    /// The tenant does not exist.
     #[error("unknown tenant")]
     UnknownTenant,
-    /// Another job with the same `X-Trace-Id` is open.
+    /// Another job with the same `X-Trace-Id` has not ended yet.
     #[error("a job with this X-Trace-Id is open")]
     DuplicateTraceId,
 }
@@ -84,7 +84,7 @@
 }
 
 impl From<Malformed> for RequestError {
-    /// What a fault in a request's body means.
+    /// Converts an error in the framing of a request's body.
     fn from(malformed: Malformed) -> Self {
         match malformed {
             Malformed::TooLarge => RequestError::BodyTooLarge,
--- a/crates/protocol/src/http/request_head.rs
+++ b/crates/protocol/src/http/request_head.rs
@@ -1,11 +1,11 @@
-//! Heads of requests.
+//! Heads of clients' requests.
 
 use super::body::Body;
 use super::headers::{has_bare_line_feed, has_token, header, single};
 use super::request_error::RequestError;
 use super::{MAX_BODY_BYTES, MAX_HEAD_BYTES, MAX_HEADERS};
 
-/// A version of HTTP that is understood.
+/// The supported versions of HTTP.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Version {
     /// HTTP/1.0.
@@ -17,23 +17,23 @@
 /// The head of a request.
 #[derive(Debug)]
 pub struct RequestHead<'input> {
-    /// Its method, as stated.
+    /// The method, as stated.
     pub method: &'input str,
-    /// Its target, as stated: the path and the query.
+    /// The target, as stated: usually path and query.
     pub target: &'input str,
-    /// Its version.
+    /// The version of HTTP.
     pub version: Version,
-    /// The client keeps the connection for further requests.
+    /// The client keeps the connection open for further requests.
     pub keep_alive: bool,
     /// The client waits for `100 Continue` before it sends the body.
     pub expects_continue: bool,
-    /// Its length in bytes.
+    /// The head's length in bytes, including the empty line at its end.
     pub length: usize,
     headers: Vec<httparse::Header<'input>>,
 }
 
 impl<'input> RequestHead<'input> {
-    /// Decodes the head at the front of `input`; `None`: it has not all come.
+    /// Decodes the head at the front of `input`; `None` if the head is incomplete.
     pub fn decode(input: &'input [u8]) -> Result<Option<Self>, RequestError> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -66,23 +66,24 @@
         self.target.split('?').next().unwrap_or_default()
     }
 
-    /// The body that it announces.
+    /// Parser of the body that the head announces.
     pub fn body(&self) -> Result<Body, RequestError> {
         Ok(Body::from_headers(&self.headers, false, MAX_BODY_BYTES)?)
     }
 
-    /// A header's value, if it is text: the first one's where it is repeated.
+    /// The trimmed value of the first header of this name; `None` if there is none or it is not UTF-8.
     pub fn header(&self, name: &str) -> Option<&'input str> {
         header(&self.headers, name)
     }
 
-    /// The value of a header that may be there once, in printable ASCII.
+    /// The trimmed value of a header that may occur only once, in printable ASCII; `None` if there is none.
     pub fn single_header(&self, name: &str) -> Result<Option<&'input str>, RequestError> {
         single(&self.headers, name).map_err(|_| RequestError::AmbiguousHeader)
     }
 }
 
-/// Whether a client that sends this `Connection` header keeps the connection: the default since HTTP/1.1.
+/// Whether a client that sends this `Connection` header keeps the connection open: by default since HTTP/1.1,
+/// and only on request before.
 fn keeps_alive(version: Version, connection: Option<&str>) -> bool {
     match version {
         Version::Http11 => !has_token(connection, "close"),
--- a/crates/protocol/src/http/response.rs
+++ b/crates/protocol/src/http/response.rs
@@ -1,8 +1,8 @@
-//! Responses to clients.
+//! Heads of responses to clients.
 
 use brackenledge_policy::Millis;
 
-/// What a client gets that expects it before it sends a body.
+/// The interim response to a client that sent `Expect: 100-continue`.
 pub const CONTINUE: &[u8] = b"HTTP/1.1 100 Continue\r\n\r\n";
 
 /// The head of a response to a client.
@@ -12,16 +12,16 @@
     pub status: u16,
     /// The body's length in bytes.
     pub body_length: usize,
-    /// The connection is kept for further requests.
+    /// The connection stays open for further requests.
     pub keep_alive: bool,
-    /// How long the client should wait before a retry, if it is to be told.
+    /// Value of `Retry-After` in milliseconds, sent in seconds with three decimals; `None` omits the header.
     pub retry_after: Option<Millis>,
-    /// The body's type, if it is stated.
+    /// Value of `Content-Type`; `None` omits the header.
     pub content_type: Option<&'static str>,
 }
 
 impl ClientResponseHead {
-    /// The head's bytes; the body follows them.
+    /// Encodes the head, including the empty line at its end.
     pub fn encode(&self) -> String {
         let ClientResponseHead { status, body_length, .. } = self;
         let phrase = reason_phrase(*status);
--- a/crates/protocol/src/http/response_head.rs
+++ b/crates/protocol/src/http/response_head.rs
@@ -8,22 +8,22 @@
 use crate::worker::decode_load_header;
 use brackenledge_policy::LoadReport;
 
-/// The head of a response, as far as this program reads it.
+/// The parts of a response's head that this program uses.
 pub struct ResponseHead {
-    /// Its status code.
+    /// The status code.
     pub status: u16,
-    /// The body that it announces.
+    /// Parser of the body that the head announces.
     pub body: Body,
-    /// The connection serves no further request.
+    /// The connection can't be used for another request.
     pub closes: bool,
-    /// The worker says that the request never ran.
+    /// The worker states that it has not run the job and will not run it.
     pub never_ran: bool,
-    /// The load report in its own header.
+    /// The load report in the header `Endpoint-Load-Metrics`.
     pub load: Option<LoadReport>,
 }
 
 impl ResponseHead {
-    /// Decodes the head at the front of a buffer's input and consumes it; `None`: it has not all come.
+    /// Decodes the head at the front of the buffer's input and consumes it; `None` if the head is incomplete.
     pub fn take(buffer: &mut Buffer, max_body_bytes: usize) -> Result<Option<Self>, Malformed> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut response = httparse::Response::new(&mut headers);
--- a/crates/protocol/src/job_head.rs
+++ b/crates/protocol/src/job_head.rs
@@ -1,6 +1,7 @@
 //! The head of a job's request: its path and its headers, as typed values.
 //!
-//! A header that decides something must be there at most once, as plain text: whoever reads it next must read the same.
+//! The headers decoded here, except `X-Props` and `X-Second-Try`, may occur only once, in printable ASCII.
+//! Otherwise a worker or a proxy could read another value from the same head.
 
 use crate::header_names::{
     CLASS, CONTENT_TYPE, EXPIRES_IN, IDEMPOTENCY_KEY, PROPERTIES, RETRY, SIZE_HINT, TENANT, TRACE_ID,
@@ -8,58 +9,58 @@
 use crate::http::{RequestError, RequestHead};
 use brackenledge_policy::Millis;
 
-/// The longest trace id that is accepted, in bytes.
+/// Limit of a trace id's length, in bytes.
 pub const MAX_TRACE_ID_LEN: usize = 128;
 
-/// A class of jobs, as far as heads refer to it.
+/// What the decoder needs to know of a class of jobs.
 #[derive(Clone, Debug)]
 pub struct ClassRule {
-    /// Its name.
+    /// The name in paths and headers.
     pub name: String,
-    /// Its jobs may run twice only under an idempotency key, and must have one.
+    /// Jobs of this class may be executed twice only under an idempotency key, so they must carry one.
     pub requires_idempotency_key: bool,
 }
 
-/// What the heads of jobs may refer to.
+/// The classes and tenants that jobs may name.
 #[derive(Clone, Debug, Default)]
 pub struct JobRules {
-    /// The classes, by number.
+    /// The classes, indexed by class number.
     pub classes: Vec<ClassRule>,
-    /// The tenants' names, by number; without any, the tenant that a job names is not looked at.
+    /// The tenants' names, indexed by tenant number. If empty, the tenant that a job names is ignored.
     pub tenants: Vec<String>,
 }
 
 /// The head of a job's request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct JobHead<'input> {
-    /// The class's number.
+    /// Index into [`JobRules::classes`].
     pub class: usize,
-    /// The tenant's number; 0 where there are no tenants.
+    /// Index into [`JobRules::tenants`]; 0 if there are no tenants.
     pub tenant: usize,
-    /// The affinity key at the path's end.
+    /// The affinity key: the last segment of the path.
     pub affinity_key: Option<&'input str>,
     /// The client's id of the job.
     pub trace_id: &'input str,
-    /// How long the client waits, from the request's first byte.
+    /// How long the client waits for the response, in milliseconds from the request's first byte.
     pub expires_in: Option<Millis>,
     /// The run time that the client expects, in microseconds.
     pub size_hint_micros: Option<f64>,
-    /// By which workers recognise retries.
+    /// Identifies retries of the job to workers.
     pub idempotency_key: Option<&'input str>,
     /// What the job occupies on a worker.
     pub resources: Resources,
     /// The client has submitted the job before.
     pub is_retry: bool,
-    /// The body's type.
+    /// The body's media type, as stated.
     pub content_type: Option<&'input str>,
 }
 
 /// The resources that a job occupies on a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Resources {
-    /// Slots of the worker.
+    /// Number of slots; 1 unless the request states it.
     pub slots: f64,
-    /// Units of memory.
+    /// Memory, in the unit of the workers' load reports; 0 unless the request states it.
     pub memory: f64,
 }
 
@@ -70,7 +71,8 @@
 }
 
 impl<'input> JobHead<'input> {
-    /// Decodes the job that a request's head describes. Of several errors the first in this order is reported.
+    /// Decodes the job that a request's head describes. Of several errors, the first in the order of the
+    /// checks below is returned.
     pub fn decode(head: &RequestHead<'input>, rules: &JobRules) -> Result<Self, RequestError> {
         check_request_line(head)?;
         let class = decode_class(head, rules)?;
@@ -93,19 +95,19 @@
     if head.method != "POST" {
         return Err(RequestError::MethodNotAllowed);
     }
-    // The target is passed on: whoever reads it next must read the same.
+    // The target is forwarded to the worker, which must not be able to interpret it differently.
     if !head.target.bytes().all(|byte| byte.is_ascii_graphic()) {
         return Err(RequestError::InvalidTarget);
     }
     Ok(())
 }
 
-/// The path's segments. What stands before the first slash is none.
+/// The path's segments; text before the first slash is not a segment.
 fn segments(path: &str) -> impl Iterator<Item = &str> {
     path.split('/').skip(1)
 }
 
-/// The path's first segment names the class, and must agree with the header.
+/// Decodes the class from the path's first segment, which must agree with the header if that is present.
 fn decode_class(head: &RequestHead, rules: &JobRules) -> Result<usize, RequestError> {
     let in_path = segments(head.path()).next().unwrap_or_default();
     let name = head.single_header(CLASS)?.unwrap_or(in_path);
@@ -117,7 +119,7 @@
     Ok(class)
 }
 
-/// The path's last segment, unless that is its first or empty.
+/// The path's last segment; `None` if it is empty or is the first, which names the class.
 fn affinity_key(path: &str) -> Option<&str> {
     segments(path).skip(1).last().filter(|key| !key.is_empty())
 }
@@ -152,7 +154,8 @@
     Ok(key)
 }
 
-/// The `slots` and `memory` of a comma-separated list of `name=value`. All its values must be numbers.
+/// Decodes `slots` and `memory` from a comma-separated list of `name=value`. Other names are ignored, but
+/// their values must be numbers too.
 fn decode_resources(head: &RequestHead) -> Result<Resources, RequestError> {
     let mut resources = Resources::default();
     let properties = head.header(PROPERTIES).unwrap_or_default().split(',');
@@ -167,13 +170,13 @@
     Ok(resources)
 }
 
-/// A header's number, if the header is there.
+/// The number in a header; `None` if the header is absent.
 fn decode_number(head: &RequestHead, name: &'static str) -> Result<Option<f64>, RequestError> {
     let Some(text) = head.single_header(name)? else { return Ok(None) };
     parse_number(text).map(Some).ok_or(RequestError::InvalidNumber(name))
 }
 
-/// A number that is finite and not negative.
+/// Parses a number that is finite and not negative.
 fn parse_number(text: &str) -> Option<f64> {
     text.parse::<f64>().ok().filter(|value| value.is_finite() && *value >= 0.0)
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,15 +1,16 @@
-//! The codecs and documents of the platform's protocol: bytes in, values out. No sockets, no clock, no decisions.
+//! Codecs of the platform's messages, and parsers of the configuration and the operators' file. The crate
+//! does no I/O, reads no clock and takes no scheduling decisions.
 //!
-//! - [`http`]: heads and framing of HTTP/1.1 messages, in one buffer for each connection;
+//! - [`http`]: heads and framing of HTTP/1.1 messages, and the buffer of a connection;
 //! - [`job_head`]: the path and the headers of a job's request;
-//! - [`list_stream`]: discovery's endpoint lists, parsed as they arrive;
+//! - [`list_stream`]: a streaming parser of discovery's endpoint lists;
 //! - [`worker_request`]: requests to workers;
 //! - [`worker`]: the lines of workers' responses, and their load reports;
-//! - [`config`]: the configuration that a scheduler is given;
-//! - [`control`]: the lines of the admin endpoint;
-//! - [`operations`]: the operators' own file of settings.
+//! - [`config`]: a scheduler's configuration;
+//! - [`control`]: calls and error replies of the admin endpoint;
+//! - [`operations`]: the operators' file of settings.
 //!
-//! What is wrong with the configuration or the operators' file is a [`ConfigError`].
+//! Errors in the configuration and in the operators' file are [`ConfigError`]s.
 
 pub mod config;
 pub mod control;
--- a/crates/protocol/src/list_stream.rs
+++ b/crates/protocol/src/list_stream.rs
@@ -1,78 +1,78 @@
-//! A streaming parser of discovery's endpoint lists: bytes in, entries out one by one, so that a list of any size is
-//! never held as text, and the entries of a line that broke off are known.
+//! A streaming parser of discovery's endpoint lists. It yields entries one by one, so that the text of a long
+//! list is never held as a whole, and the entries before an interruption are not lost.
 //!
-//! A list is an object whose `endpoints` array holds one object for each worker. The reader follows the nesting of the
-//! text and hands each of those objects to the JSON library once it is complete; the rest of the list, its envelope, is
-//! parsed at its end.
+//! A list is an object whose `endpoints` array holds one object for each worker. The reader tracks the
+//! nesting of the text and parses each of those objects as JSON once it is complete. The rest of the list,
+//! its envelope, is parsed at the end of the list.
 
 use crate::config::Endpoint;
 
-/// Limit of an entry, in bytes.
+/// Limit of an entry's text, in bytes.
 const MAX_ENTRY_BYTES: usize = 8 * 1024;
-/// Limit of what a list holds beside its entries, in bytes.
+/// Limit of the text of a list without its entries, in bytes.
 const MAX_ENVELOPE_BYTES: usize = 8 * 1024;
-/// Limit of the nesting, in levels.
+/// Limit of the nesting of objects and arrays, in levels.
 const MAX_DEPTH: usize = 16;
-/// Depth inside the list's object.
+/// Nesting level within the list's object.
 const LIST_DEPTH: usize = 1;
-/// Depth inside the array of entries.
+/// Nesting level within the array of entries.
 const ENTRIES_DEPTH: usize = 2;
 
-/// Where lists begin and end in a stream.
+/// How lists are delimited in a stream.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ListFraming {
-    /// One list, whose line ends are blanks: the response to a poll.
+    /// The stream is one list, in which line ends are white space: the response to a poll.
     #[default]
     SingleList,
-    /// One list a line, between empty lines that keep the connection alive: a watch.
+    /// Each line is a list, or is empty as a keep-alive: the response to a watch.
     ListPerLine,
 }
 
-/// A part of the stream that is complete.
+/// A completely received part of the stream.
 #[derive(Debug)]
 pub enum ListItem {
-    /// One entry of the list in progress.
+    /// One entry of the current list.
     Entry(Endpoint),
-    /// The list in progress is complete.
+    /// The end of the current list.
     List {
-        /// Its revision.
+        /// The list's revision.
         index: u64,
-        /// Whether it names all endpoints, rather than changes alone.
+        /// Whether the list names all endpoints; otherwise it names only those that changed.
         snapshot: bool,
     },
-    /// An empty line.
+    /// An empty line, which discovery sends to keep a watch alive.
     KeepAlive,
 }
 
 /// Why a stream can't be parsed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ListError {
-    /// Something else than a list or an empty line.
-    #[error("byte {0:#04x} where a list or an empty line begins")]
+    /// A byte outside a list that can't start a list or be part of an empty line.
+    #[error("unexpected byte {0:#04x} where a list or an empty line should begin")]
     UnexpectedByte(u8),
     /// A line ended before its list was complete.
-    #[error("a line that ends in the middle of a list")]
+    #[error("a line ended in the middle of a list")]
     IncompleteLine,
     /// An entry is longer than this limit, in bytes.
-    #[error("an entry of more than {0} bytes")]
+    #[error("an entry is longer than {0} bytes")]
     EntryTooLong(usize),
     /// The envelope is longer than this limit, in bytes.
-    #[error("a list's head of more than {0} bytes")]
+    #[error("a list without its entries is longer than {0} bytes")]
     EnvelopeTooLong(usize),
-    /// The text is nested deeper than this limit.
-    #[error("more than {0} levels of nesting")]
+    /// Objects and arrays are nested deeper than this limit, in levels.
+    #[error("a list is nested more than {0} levels deep")]
     TooDeep(usize),
     /// An entry is not UTF-8.
-    #[error("an entry that is not UTF-8")]
+    #[error("an entry is not UTF-8")]
     EntryNotUtf8,
-    /// An entry lacks a field, or one has a wrong type.
-    #[error("an entry that is none: {0:.200}")]
+    /// An entry is invalid JSON, lacks a field, or has a field of the wrong type.
+    #[error("an entry is invalid JSON, or a field is missing or has the wrong type: {0:.200}")]
     InvalidEntry(String),
     /// An envelope is not UTF-8.
-    #[error("a list that is not UTF-8")]
+    #[error("a list is not UTF-8")]
     EnvelopeNotUtf8,
-    /// An envelope lacks a field, or one has a wrong type.
-    #[error("a list without index, snapshot or endpoints: {0:.200}")]
+    /// An envelope is invalid JSON, lacks a field, or has a field of the wrong type.
+    #[error("a list has no valid index, snapshot or endpoints: {0:.200}")]
     InvalidEnvelope(String),
 }
 
@@ -80,12 +80,12 @@
 struct Envelope {
     index: u64,
     snapshot: bool,
-    // The entries have been taken out; the array, even an empty one, must be there.
+    // The entries are parsed separately and are not in this text, but the array must be there, even if empty.
     #[allow(dead_code)]
     endpoints: Vec<bool>,
 }
 
-/// A parser of one stream of lists. After an error it can't be used any more.
+/// A parser of one stream of lists. It must not be used after an error.
 #[derive(Default)]
 pub struct ListReader {
     framing: ListFraming,
@@ -95,12 +95,12 @@
     in_string: bool,
     escaped: bool,
     in_entries: bool,
-    /// A list has begun since the last line's end.
+    /// A list has begun since the last line end.
     line_has_list: bool,
 }
 
 impl ListReader {
-    /// A reader of a stream with such framing.
+    /// A reader at the start of a stream.
     pub fn new(framing: ListFraming) -> Self {
         ListReader { framing, ..ListReader::default() }
     }
@@ -109,12 +109,12 @@
         self.framing == ListFraming::ListPerLine
     }
 
-    /// Whether the text so far ends within a list.
+    /// Whether the input so far ends within a list.
     pub fn is_mid_list(&self) -> bool {
         self.depth > 0
     }
 
-    /// Parses more of the stream; `on_item` gets each part that is complete.
+    /// Parses the next bytes of the stream; `on_item` is called for each item that they complete.
     pub fn feed(&mut self, bytes: &[u8], mut on_item: impl FnMut(ListItem)) -> Result<(), ListError> {
         for &byte in bytes {
             let item = if self.depth == 0 { self.step_between_lists(byte)? } else { self.step(byte)? };
@@ -143,7 +143,7 @@
         }
     }
 
-    /// Parses a byte of a list.
+    /// Parses a byte within a list.
     fn step(&mut self, byte: u8) -> Result<Option<ListItem>, ListError> {
         if byte == b'\n' && self.ends_lists_with_lines() {
             return Err(ListError::IncompleteLine);
@@ -173,7 +173,8 @@
                 Ok(())
             };
         }
-        // Between entries, commas would be left without them, and blanks pile up.
+        // The entries are taken out of the envelope: separators between them would make it invalid JSON and
+        // let it grow.
         let is_separator = matches!(byte, b',' | b' ' | b'\r' | b'\n' | b'\t');
         if !(self.in_entries && self.depth == ENTRIES_DEPTH && is_separator) {
             self.envelope.push(byte);
@@ -197,7 +198,7 @@
         self.in_entries && self.depth == ENTRIES_DEPTH && byte == b'{'
     }
 
-    /// Enters an object or an array.
+    /// Handles the start of an object or an array.
     fn open(&mut self, byte: u8) -> Result<(), ListError> {
         self.depth += 1;
         if byte == b'[' && self.depth == ENTRIES_DEPTH {
@@ -209,14 +210,14 @@
         Ok(())
     }
 
-    /// Whether the array that has just been opened is the one of the entries.
+    /// Whether the array that has just started is the value of `endpoints`.
     fn is_entries_array(&self) -> bool {
         let head = self.envelope.strip_suffix(b"[").unwrap_or_default().trim_ascii_end();
         let name = head.strip_suffix(b":").unwrap_or_default().trim_ascii_end();
         name.ends_with(b"\"endpoints\"")
     }
 
-    /// Leaves an object or an array; an entry or a list may be complete with it.
+    /// Handles the end of an object or an array, which may complete an entry or the list.
     fn close(&mut self) -> Result<Option<ListItem>, ListError> {
         self.depth -= 1;
         match self.depth {
@@ -233,7 +234,7 @@
     fn parse_entry(&mut self) -> Result<ListItem, ListError> {
         let text = std::str::from_utf8(&self.entry).map_err(|_| ListError::EntryNotUtf8)?;
         let entry = miniserde::json::from_str(text).map_err(|_| ListError::InvalidEntry(text.to_owned()))?;
-        // Its capacity serves the next one.
+        // Clearing keeps the capacity for the next entry.
         self.entry.clear();
         Ok(ListItem::Entry(entry))
     }
--- a/crates/protocol/src/worker.rs
+++ b/crates/protocol/src/worker.rs
@@ -1,23 +1,24 @@
-//! What workers send: the lines of a response, and load reports in either of their forms.
+//! Decodes what workers send: the lines of a response, and load reports as JSON or as a header.
 
 use brackenledge_policy::LoadReport;
 use miniserde::json;
 
-/// Why bytes that a worker sent can't be decoded.
+/// Why data from a worker can't be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// They are not text.
+    /// The data is not UTF-8 text.
     #[error("not UTF-8")]
     NotUtf8,
-    /// They are not one JSON value.
+    /// The data is not exactly one JSON value.
     #[error("not JSON")]
     NotJson,
-    /// The JSON value is no object with the fields that are expected.
+    /// The JSON value is not an object with the expected fields.
     #[error("a field is missing or has a wrong type")]
     InvalidFields,
 }
 
-/// A report's values, under the names that discovery and the settings use.
+/// A load report as JSON. Most values have two names, one that discovery uses and one that the settings use.
+/// If both are present, the first one listed here is read.
 #[derive(miniserde::Deserialize)]
 struct LoadDocument {
     inflight: Option<f64>,
@@ -45,43 +46,43 @@
     }
 }
 
-/// Where a job stands by one line of a worker's response.
+/// The state of a job according to one line of a worker's response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum LineState {
-    /// It runs.
+    /// The worker has started the job.
     Started,
-    /// It runs, and so much is done, 0 to 1.
+    /// The job is in progress.
     Running {
-        /// The part done; 0 where the line does not say.
+        /// Fraction completed, 0 to 1; 0 if the line does not state it.
         share: f64,
     },
-    /// It has run.
+    /// The job has completed.
     Done {
-        /// The result for the client; a worker at fault may leave it out.
+        /// The result for the client; `None` only from a faulty worker.
         result: Option<String>,
     },
-    /// It has run and failed.
+    /// The job was executed and failed.
     Failed,
-    /// The worker returns it unstarted.
+    /// The worker returns the job without having started it.
     Returned,
-    /// The worker does not know what became of it.
+    /// The worker does not know whether the job was executed.
     Lost,
-    /// A state that later versions may add; it is not final.
+    /// A state that this version does not know; it is not final.
     Unknown,
 }
 
 /// One line of a worker's response.
 #[derive(Clone, Debug)]
 pub struct Line {
-    /// The job that it is about.
+    /// The trace id of the job, if the line states it.
     pub id: Option<String>,
-    /// Where that job stands.
+    /// The job's state.
     pub state: LineState,
-    /// The load report in the line.
+    /// The worker's load report, if the line carries one.
     pub load: Option<LoadReport>,
 }
 
-/// One line of a worker's response, as JSON has it.
+/// One line of a worker's response, as JSON.
 #[derive(miniserde::Deserialize)]
 struct LineDocument {
     id: Option<String>,
@@ -111,7 +112,7 @@
     decode_json::<LineDocument>(line).map(Line::from)
 }
 
-/// Decodes a load report: the body of the response to a health check.
+/// Decodes a load report in JSON: the body of the response to a health check.
 pub fn decode_load(body: &[u8]) -> Result<LoadReport, DecodeError> {
     decode_json::<LoadDocument>(body).map(LoadReport::from)
 }
@@ -124,7 +125,8 @@
     })
 }
 
-/// Decodes the header form of a load report: `TEXT name=value, name=value`. Values that are no numbers are skipped.
+/// Decodes the header form of a load report: `TEXT name=value, name=value`. Values that are not numbers are
+/// ignored.
 pub fn decode_load_header(text: &str) -> LoadReport {
     let mut report = LoadReport::default();
     let pairs = text.trim().trim_start_matches("TEXT").split(',');
