--- a/crates/protocol/tests/common/request_heads.rs
+++ b/crates/protocol/tests/common/request_heads.rs
@@ -1,19 +1,20 @@
-//! A table of request heads and what each of them gives: the rejection's status and reason, or the values that are parsed.
+//! A table of request heads with the outcome of each: the rejection's status and reason, or the decoded
+//! values.
 //!
-//! The outcomes were taken by running the parser that stood in the daemon's frontend before it moved to this crate. The
-//! frontend's tests play the table too.
+//! The outcomes were recorded from an earlier parser in the daemon's frontend, so they detect any change of
+//! behaviour. The frontend's tests run the same table.
 
 use brackenledge_policy::Effect;
 use brackenledge_protocol::http::{RequestError, RequestHead};
 use brackenledge_protocol::job_head::{ClassRule, JobRules};
 
-/// The classes of the table, in the order of their numbers.
+/// The classes that the table uses, in the order of their numbers.
 pub const CLASSES: [(&str, Effect); 3] =
     [("view", Effect::Repeatable), ("sale", Effect::NonIdempotent), ("buy", Effect::Idempotent)];
-/// The tenants of the table, in the order of their numbers.
+/// The tenants that the table uses, in the order of their numbers.
 pub const TENANTS: [&str; 2] = ["karoo", "vaal"];
 
-/// The table's classes and tenants.
+/// The rules for the table's classes and tenants.
 pub fn job_rules() -> JobRules {
     let class = |&(name, effect): &(&str, Effect)| ClassRule {
         name: name.to_owned(),
@@ -25,7 +26,7 @@
     }
 }
 
-/// What a head gives, as the table writes it. `describe`: what it asks for.
+/// The outcome of a head, in the table's notation. `describe` gives the text for what the head requests.
 pub fn outcome(
     input: &[u8],
     describe: impl Fn(&RequestHead) -> Result<String, RequestError>,
@@ -47,7 +48,7 @@
     Ok(text)
 }
 
-/// Checks all cases.
+/// Checks the outcomes of all cases.
 pub fn check(describe: impl Fn(&RequestHead) -> Result<String, RequestError>) {
     for case in cases() {
         let outcome = outcome(&case.head, &describe);
@@ -56,34 +57,35 @@
     }
 }
 
-/// A job's values.
+/// The values decoded from a job's head; times are in milliseconds.
 pub struct JobValues<'a> {
     pub class: usize,
     pub tenant: usize,
-    pub id: &'a str,
+    pub trace_id: &'a str,
     pub target: &'a str,
-    pub key: Option<&'a str>,
+    pub affinity_key: Option<&'a str>,
     pub idempotency_key: Option<&'a str>,
     pub content_type: Option<&'a str>,
-    pub time: Option<f64>,
-    pub effort: Option<f64>,
+    pub time_left: Option<f64>,
+    pub expected_run_time: Option<f64>,
     pub slots: f64,
     pub memory: f64,
     pub is_retry: bool,
 }
 
 impl JobValues<'_> {
-    /// The values as the table writes them, with a long id shortened and the defaults left out.
+    /// The values in the table's notation: a long id is replaced by its length, and defaults are omitted.
     pub fn describe(&self) -> String {
-        let id = if self.id.len() > 20 { format!("{} bytes", self.id.len()) } else { self.id.to_owned() };
+        let id = self.trace_id;
+        let id = if id.len() > 20 { format!("{} bytes", id.len()) } else { id.to_owned() };
         let mut text = format!("job {} of {}, id {id}, {}", self.class, self.tenant, self.target);
         let number = |value: f64, default: f64| (value != default).then(|| value.to_string());
         let values = [
-            ("key", self.key.map(str::to_owned)),
+            ("key", self.affinity_key.map(str::to_owned)),
             ("idempotency key", self.idempotency_key.map(str::to_owned)),
             ("type", self.content_type.map(str::to_owned)),
-            ("time", self.time.map(|time| time.to_string())),
-            ("effort", self.effort.map(|effort| effort.to_string())),
+            ("time", self.time_left.map(|time| time.to_string())),
+            ("run time", self.expected_run_time.map(|run_time| run_time.to_string())),
             ("slots", number(self.slots, 1.0)),
             ("memory", number(self.memory, 0.0)),
             ("retry", self.is_retry.then(|| "yes".to_owned())),
@@ -97,13 +99,13 @@
     }
 }
 
-/// A head, and what it gives.
+/// A head and its expected outcome.
 pub struct Case {
     pub head: Vec<u8>,
     pub outcome: &'static str,
 }
 
-/// A head that is accepted.
+/// A head that is accepted; most cases differ from it in one place.
 const JOB: &str =
     "POST /view/k1 HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t1\r\nX-Qos: view\r\nX-Customer: karoo\r\n\r\n";
 
@@ -111,24 +113,24 @@
     Case { head: head.as_ref().to_vec(), outcome }
 }
 
-/// `JOB` with other text in one place.
+/// `JOB` with `from` replaced by `to`.
 fn with(from: &str, to: &str, outcome: &'static str) -> Case {
     assert!(JOB.contains(from), "{from:?}");
     case(JOB.replacen(from, to, 1), outcome)
 }
 
-/// `JOB` with one more header line, or several.
+/// `JOB` with additional header lines.
 fn plus(lines: &str, outcome: &'static str) -> Case {
     with("Host: x\r\n", &format!("Host: x\r\n{lines}\r\n"), outcome)
 }
 
-/// `JOB` with a header line of any bytes.
+/// `JOB` with an additional header line that need not be UTF-8.
 fn plus_bytes(line: &[u8], outcome: &'static str) -> Case {
     let (front, rest) = JOB.split_at(JOB.find("Host").expect("a header"));
     case([front.as_bytes(), line, b"\r\n", rest.as_bytes()].concat(), outcome)
 }
 
-/// All cases.
+/// All cases of the table.
 pub fn cases() -> Vec<Case> {
     [request_lines(), framing(), connections(), paths(), job_headers(), numbers(), precedence()]
         .into_iter()
@@ -136,7 +138,7 @@
         .collect()
 }
 
-/// Request lines, line ends, and heads that are not complete or too long.
+/// Request lines, line ends, and heads that are incomplete or too long.
 fn request_lines() -> Vec<Case> {
     let fill = |length: usize| format!("X-Fill: {}", "f".repeat(length - JOB.len() - "X-Fill: \r\n".len()));
     let lines = |count: usize| vec!["X-Line: 1"; count].join("\r\n");
@@ -183,7 +185,7 @@
     ]
 }
 
-/// What announces the body.
+/// Headers that announce the body.
 fn framing() -> Vec<Case> {
     vec![
         plus("Content-Length: 0", r#"job 0 of 0, id t1, /view/k1, key "k1"; Length(0)"#),
@@ -218,7 +220,7 @@
     ]
 }
 
-/// Whether the connection is kept, and health checks.
+/// Whether the connection is kept open, and health checks.
 fn connections() -> Vec<Case> {
     let http_1_0 = |lines: &str| JOB.replacen("1.1\r\n", &format!("1.0\r\n{lines}"), 1);
     vec![
@@ -251,7 +253,7 @@
     ]
 }
 
-/// The target: the class, and the affinity key.
+/// The target, with the class and the affinity key.
 fn paths() -> Vec<Case> {
     let target = |target: &str, outcome| with("/view/k1", target, outcome);
     vec![
@@ -283,7 +285,7 @@
     ]
 }
 
-/// The headers of a job that are text.
+/// Headers of a job whose values are text.
 fn job_headers() -> Vec<Case> {
     let buy = |headers: &str| JOB.replace("view", "buy").replacen("\r\n\r\n", headers, 1);
     let id = |id: &str, outcome| with("X-Trace-Id: t1", &format!("X-Trace-Id: {id}"), outcome);
@@ -332,7 +334,7 @@
     ]
 }
 
-/// The headers of a job that hold numbers.
+/// Headers of a job whose values are numbers.
 fn numbers() -> Vec<Case> {
     vec![
         plus("X-Expires-In-Ms: 4000", r#"job 0 of 0, id t1, /view/k1, key "k1", time "4000"; Length(0)"#),
@@ -346,7 +348,7 @@
         plus("X-Expires-In-Ms: inf", "400 X-Expires-In-Ms is no number"),
         plus("X-Expires-In-Ms: NaN", "400 X-Expires-In-Ms is no number"),
         plus("X-Expires-In-Ms: 1\r\nX-Expires-In-Ms: 1", "400 a header is repeated or not plain text"),
-        plus("X-Size-Hint: 2500", r#"job 0 of 0, id t1, /view/k1, key "k1", effort "2.5"; Length(0)"#),
+        plus("X-Size-Hint: 2500", r#"job 0 of 0, id t1, /view/k1, key "k1", run time "2.5"; Length(0)"#),
         plus("X-Size-Hint: large", "400 X-Size-Hint is no number"),
         plus("X-Size-Hint: 1\r\nX-Size-Hint: 1", "400 a header is repeated or not plain text"),
         plus(
@@ -370,7 +372,7 @@
     ]
 }
 
-/// Of two reasons for a rejection, which one is given.
+/// Heads with several errors: which of them is reported.
 fn precedence() -> Vec<Case> {
     vec![
         case("PUT /dig HTTP/1.1\r\nContent-Length: x\r\n\r\n", "405 jobs arrive by POST"),
--- a/crates/protocol/tests/control.rs
+++ b/crates/protocol/tests/control.rs
@@ -1,4 +1,4 @@
-//! Parsing of the admin endpoint's lines, and its error replies.
+//! Parsing of calls to the admin endpoint, and encoding of error replies.
 #![allow(missing_docs)]
 
 use brackenledge_protocol::control::{
@@ -6,7 +6,7 @@
 };
 
 #[test]
-fn each_line_reads_as_its_table_says() {
+fn an_open_connections_input_parses_as_listed() {
     let long = vec![b'A'; MAX_LINE_BYTES + 1];
     let cases: &[(&[u8], Parsed)] = &[
         (b"PING\n", Parsed::Call(Call::Ping)),
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn the_end_of_the_input_ends_a_line() {
+fn the_end_of_the_input_ends_the_line() {
     let long = vec![b'A'; MAX_LINE_BYTES];
     let cases: &[(&[u8], Result<Call, LineError>)] = &[
         (b"PING", Ok(Call::Ping)),
--- a/crates/protocol/tests/encoded_heads.rs
+++ b/crates/protocol/tests/encoded_heads.rs
@@ -1,4 +1,4 @@
-//! The bytes of responses to clients and of requests to workers.
+//! Encoding of response heads to clients and of requests to workers.
 #![allow(missing_docs)]
 
 use brackenledge_protocol::http::ClientResponseHead;
@@ -23,7 +23,7 @@
 };
 
 #[test]
-fn a_response_states_its_length_and_what_becomes_of_the_connection() {
+fn a_response_head_states_the_body_length_and_whether_the_connection_closes() {
     let close = ClientResponseHead { keep_alive: false, ..OK };
     let rejected = ClientResponseHead { status: 503, body_length: 0, retry_after: Some(512.3456), ..OK };
     let malformed =
@@ -34,7 +34,8 @@
         (rejected, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\nRetry-After: 0.512\r\n\r\n"),
         (
             malformed,
-            "HTTP/1.1 400 Bad Request\r\nContent-Length: 3\r\nConnection: close\r\nContent-Type: text/plain\r\n\r\n",
+            "HTTP/1.1 400 Bad Request\r\nContent-Length: 3\r\nConnection: close\r\n\
+             Content-Type: text/plain\r\n\r\n",
         ),
     ];
     for (head, bytes) in cases {
@@ -43,7 +44,7 @@
 }
 
 #[test]
-fn each_status_has_its_phrase() {
+fn each_status_has_its_reason_phrase() {
     let phrases = [
         (200, "OK"),
         (400, "Bad Request"),
@@ -64,7 +65,7 @@
 }
 
 #[test]
-fn a_job_goes_to_a_worker_with_its_id_and_the_time_that_is_left() {
+fn a_request_to_a_worker_states_the_trace_id_and_the_time_left() {
     let front = "POST /view/k1?a=b HTTP/1.1\r\nHost: 10.0.0.7:7100\r\nX-Trace-Id: t1\r\n";
     let expired = WorkerJobHead { expires_in: -3.0, body_length: 0, ..JOB };
     let full = WorkerJobHead { idempotency_key: Some("a b"), content_type: Some(""), ..JOB };
@@ -82,7 +83,7 @@
 }
 
 #[test]
-fn a_worker_is_asked_for_its_load() {
+fn a_load_request_is_a_get_of_the_load_report() {
     let bytes = "GET /metrics/load HTTP/1.1\r\nHost: 10.0.0.7:7100\r\n\r\n";
     assert_eq!(encode_load_request(JOB.host), bytes);
 }
--- a/crates/protocol/tests/request_heads.rs
+++ b/crates/protocol/tests/request_heads.rs
@@ -1,4 +1,4 @@
-//! What heads of requests give: the rejection's status and reason, or the values of the job in them.
+//! Decoding of request heads: the rejection's status and reason, or the job's values.
 #![allow(missing_docs)]
 
 #[path = "common/request_heads.rs"]
@@ -8,7 +8,7 @@
 use brackenledge_protocol::job_head::{JobHead, JobRules};
 use request_heads::{JobValues, check, job_rules};
 
-/// What a request asks for.
+/// What a head requests, in the table's notation.
 fn describe(head: &RequestHead) -> Result<String, RequestError> {
     if head.method == "GET" && head.path() == "/up" {
         return Ok("health check".to_owned());
@@ -17,13 +17,13 @@
     let values = JobValues {
         class: job.class,
         tenant: job.tenant,
-        id: job.trace_id,
+        trace_id: job.trace_id,
         target: head.target,
-        key: job.affinity_key,
+        affinity_key: job.affinity_key,
         idempotency_key: job.idempotency_key,
         content_type: job.content_type,
-        time: job.expires_in,
-        effort: job.size_hint_micros.map(|micros| micros / 1_000.0),
+        time_left: job.expires_in,
+        expected_run_time: job.size_hint_micros.map(|micros| micros / 1_000.0),
         slots: job.resources.slots,
         memory: job.resources.memory,
         is_retry: job.is_retry,
@@ -32,12 +32,12 @@
 }
 
 #[test]
-fn each_head_gives_what_its_table_says() {
+fn each_head_has_the_outcome_in_the_table() {
     check(describe);
 }
 
 #[test]
-fn a_head_is_its_method_target_version_and_headers() {
+fn a_head_has_method_target_version_and_headers() {
     let head = RequestHead::decode(b"PUT /a/b?c=d HTTP/1.0\r\nX-One: 1\r\nX-One: 2\r\n\r\n");
     let head = head.expect("a head").expect("a complete head");
     assert_eq!((head.method, head.target, head.path()), ("PUT", "/a/b?c=d", "/a/b"));
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn without_tenants_any_customer_is_accepted_but_not_two() {
+fn without_configured_tenants_any_single_tenant_is_accepted() {
     let rules = JobRules { tenants: Vec::new(), ..job_rules() };
     let tenant = |lines: &str| {
         let text = format!("POST /view HTTP/1.1\r\nX-Trace-Id: t1\r\n{lines}\r\n");
--- a/crates/protocol/tests/response_heads.rs
+++ b/crates/protocol/tests/response_heads.rs
@@ -1,4 +1,4 @@
-//! What is read from the head of a worker's response.
+//! Decoding of the heads of workers' responses.
 #![allow(missing_docs)]
 
 use brackenledge_protocol::http::{Buffer, MAX_BODY_BYTES, MAX_HEAD_BYTES, Malformed, ResponseHead};
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_connection_is_kept_by_version_and_header() {
+fn version_connection_header_and_length_determine_whether_the_connection_closes() {
     let length = "Content-Length: 2\r\n";
     let cases = [
         ("HTTP/1.1 200 OK", "", false),
@@ -29,12 +29,12 @@
         let head = head(first_line, &format!("{length}{connection}"));
         assert_eq!((head.status, head.closes), (200, closes), "{first_line} {connection}");
     }
-    // Without a length, only the connection's end ends the body.
+    // Without a stated length, the body ends with the connection.
     assert!(head("HTTP/1.1 200 OK", "").closes);
 }
 
 #[test]
-fn a_worker_says_that_it_never_ran_the_job_and_how_it_is_loaded() {
+fn never_ran_and_load_report_are_decoded_from_their_headers() {
     let busy = head(
         "HTTP/1.1 503 Busy",
         "Content-Length: 0\r\nX-Never-Ran:  1 \r\nEndpoint-Load-Metrics: TEXT x0=0, x1=2\r\n",
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn what_is_no_head_is_malformed_and_half_a_head_is_not_yet_one() {
+fn an_invalid_head_is_an_error_and_a_partial_head_is_not() {
     assert!(matches!(take("HTTP/1.1 200 OK\r\nContent-Len"), Ok(None)));
     let cases = [
         ("nonsense\r\n\r\n".to_owned(), Malformed::Framing),
--- a/crates/protocol/tests/worker.rs
+++ b/crates/protocol/tests/worker.rs
@@ -1,4 +1,4 @@
-//! Lines of workers' responses, and load reports.
+//! Decoding of the lines of workers' responses, and of load reports.
 #![allow(missing_docs)]
 
 use brackenledge_policy::LoadReport;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn each_state_is_decoded_with_what_belongs_to_it() {
+fn each_state_is_decoded_with_its_values() {
     let done = |result: Option<&str>| LineState::Done { result: result.map(str::to_owned) };
     let cases = [
         (r#"{"state":"started"}"#, LineState::Started),
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn what_is_no_line_says_why() {
+fn invalid_lines_give_an_error_that_names_the_cause() {
     let cases: &[(&[u8], DecodeError)] = &[
         (b"\xff{}", DecodeError::NotUtf8),
         (b"", DecodeError::NotJson),
@@ -61,14 +61,14 @@
     }
 }
 
-/// The values of a report, in the order of its fields.
+/// The values of a report, in the order in which the tests list them.
 fn values(report: LoadReport) -> [Option<f64>; 6] {
     let LoadReport { in_flight, queued, utilization, free_slots, free_memory, errors_per_second } = report;
     [in_flight, queued, utilization, free_slots, free_memory, errors_per_second]
 }
 
 #[test]
-fn a_load_report_has_either_name_of_each_value() {
+fn a_load_report_accepts_both_names_of_each_value() {
     let texts = [
         r#"{"inflight":1,"queue":2,"util":0.5,"x0":3,"x1":4,"eps":5}"#,
         r#"{"concurrent":1,"depth":2,"load_share":0.5,"x0":3,"x1":4,"err_ps":5}"#,
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn values_of_the_header_form_that_are_no_numbers_are_skipped() {
+fn values_that_are_not_numbers_are_ignored_in_the_header_form() {
     let report = decode_load_header("TEXT x0=many, x1=2, colour=7, x0");
     assert_eq!(values(report), [None, None, None, None, Some(2.0), None]);
     assert_eq!(values(decode_load_header("")), [None; 6]);
