--- a/crates/zone-routing/src/capacity.rs
+++ b/crates/zone-routing/src/capacity.rs
@@ -1,25 +1,25 @@
-//! The capacity model: demand, slots and usable routes, as the planner reads them from the load reports.
+//! The capacity model: demand, ready slots and usable routes of all zones, derived from the load reports.
 
 use crate::plan::local_row;
 use crate::suspect_routes::SuspectRoutes;
 use crate::water_fill::{EPSILON, WaterFill};
 use crate::{ClusterLoad, Millis, Plan, Settings, ShareMatrix};
 
-/// Demand and capacity of all zones at one moment.
+/// Demand and capacity of all zones at one point in time.
 pub(crate) struct CapacityModel<'a> {
     settings: &'a Settings,
-    /// Slots that each zone's own work needs.
+    /// Slots that the work of each zone's clients needs.
     demand: Vec<f64>,
-    /// Slots that each zone has ready.
+    /// Ready slots of each zone.
     slots: Vec<f64>,
-    /// Whether work can go from one zone to another.
+    /// Whether work can be sent from one zone to another, by origin, then by target.
     usable: Vec<Vec<bool>>,
-    /// Whether nothing but a suspicion keeps work from going from one zone to another.
+    /// Whether a route would be usable if it were not suspect, by origin, then by target.
     suspect: Vec<Vec<bool>>,
 }
 
 impl<'a> CapacityModel<'a> {
-    /// The model of `zone_count` zones, from the reports that are fresh.
+    /// The model of `zone_count` zones, from the reports that are fresh at `now`.
     pub fn new(
         now: Millis,
         settings: &'a Settings,
@@ -47,8 +47,9 @@
 
     /// The best shares for this load, regardless of the plan in effect.
     ///
-    /// Work is placed locally first, then over the cheapest crossings. The first pass fills zones to their target
-    /// utilization; the second, in the same order, to the maximum. What is left then is rejected.
+    /// Work is placed locally first, then over the cheapest routes. The first pass fills each zone to its
+    /// target utilization; the second pass, in the same order, to the maximum utilization. Work that is still
+    /// unplaced then is rejected.
     pub fn ideal_shares(&self) -> ShareMatrix {
         let settings = self.settings;
         let mut water_fill = WaterFill::new(&self.demand);
@@ -59,7 +60,7 @@
         (water_fill.flow().iter().enumerate()).map(|(origin, flow)| self.shares_of(origin, flow)).collect()
     }
 
-    /// Fills all zones up to a utilization, over the cheapest crossings first.
+    /// Fills all zones up to a utilization, over the cheapest routes first.
     fn fill_to(&self, water_fill: &mut WaterFill, utilization: impl Fn(usize) -> f64) {
         water_fill.set_capacity(|zone| self.slots[zone] * utilization(zone));
         for cost in self.crossing_costs() {
@@ -69,7 +70,7 @@
         }
     }
 
-    /// All distinct costs of crossings, in ascending order. That of the local route is the lowest.
+    /// All distinct finite route costs, in ascending order. The local routes have the lowest cost.
     fn crossing_costs(&self) -> Vec<f64> {
         let zone_count = self.demand.len();
         let rows = self.settings.crossing_cost.iter().take(zone_count);
@@ -80,7 +81,8 @@
         costs
     }
 
-    /// One zone's shares. A zone without work keeps all of it local; a suspect local route gets the probe fraction.
+    /// One zone's shares. A zone without demand keeps everything local; a suspect local route gets at least
+    /// the probe fraction.
     fn shares_of(&self, origin: usize, flow: &[f64]) -> Vec<f64> {
         let mut shares: Vec<f64> = if self.demand[origin] > EPSILON {
             flow.iter().map(|part| part / self.demand[origin]).collect()
@@ -89,7 +91,7 @@
         } else {
             vec![0.0; flow.len()]
         };
-        // Only the local route is worth probing with jobs: the others are probed by the schedulers that need them.
+        // Only the local route is probed with jobs. Other routes are probed by the schedulers that need them.
         let probe_fraction = self.settings.probe_fraction;
         if self.suspect[origin][origin] && shares[origin] < probe_fraction {
             let sum: f64 = shares.iter().sum();
@@ -99,8 +101,9 @@
         shares
     }
 
-    /// Whether a plan sends work over a route that can't be used, or overloads a zone while there is capacity elsewhere.
-    pub fn is_violated_by(&self, plan: &Plan) -> bool {
+    /// Whether a plan is infeasible under this load: it sends work over an unusable route, or overloads a
+    /// zone although the zones together have capacity for all demand.
+    pub fn is_infeasible(&self, plan: &Plan) -> bool {
         let zone_count = self.demand.len();
         if plan.zone_count() != zone_count {
             return true;
@@ -117,7 +120,7 @@
         })
     }
 
-    /// Whether a plan sends more than probes over a route that can't be used.
+    /// Whether a plan sends more than a probe's share of work over an unusable route.
     fn is_blocked(&self, plan: &Plan, origin: usize, target: usize) -> bool {
         let tolerated = self.settings.probe_fraction + self.settings.min_share_change;
         !self.usable[origin][target]
--- a/crates/zone-routing/src/change_budget.rs
+++ b/crates/zone-routing/src/change_budget.rs
@@ -1,13 +1,13 @@
-//! A token bucket that bounds how often the plan changes.
+//! A token bucket that limits how often the plan changes.
 
 use crate::Millis;
 
 /// Tokens are counted in thousandths.
 const MILLITOKENS_PER_CHANGE: u64 = 1_000;
-/// A rate per minute refills as many thousandths of a token in this time.
+/// In this time, the bucket is refilled by one thousandth of a token for each change allowed per minute.
 const REFILL_TIME: Millis = 60;
 
-/// Allows so many changes in a minute, and as many in a burst.
+/// A token bucket: allows a number of changes per minute, and as many in one burst.
 #[derive(Clone, Debug)]
 pub(crate) struct ChangeBudget {
     changes_per_minute: u64,
@@ -16,21 +16,21 @@
 }
 
 impl ChangeBudget {
-    /// A full bucket.
+    /// Starts with a full bucket.
     pub fn new(now: Millis, changes_per_minute: u32) -> ChangeBudget {
         let changes_per_minute = u64::from(changes_per_minute);
         let millitokens = changes_per_minute * MILLITOKENS_PER_CHANGE;
         ChangeBudget { changes_per_minute, millitokens, refilled_at: now }
     }
 
-    /// Adds the tokens of the time that has passed.
+    /// Adds the tokens earned since the last refill.
     pub fn refill(&mut self, now: Millis) {
         let earned = now.saturating_sub(self.refilled_at) * self.changes_per_minute / REFILL_TIME;
         self.millitokens = (self.millitokens + earned).min(self.capacity());
         self.refilled_at = now;
     }
 
-    /// Whether the bucket has tokens for so many changes, or is full where its capacity is smaller than that.
+    /// Whether the bucket holds tokens for this many changes, or is full if its capacity is smaller.
     pub fn allows(&self, changes: u64) -> bool {
         self.millitokens >= (changes * MILLITOKENS_PER_CHANGE).min(self.capacity())
     }
--- a/crates/zone-routing/src/lib.rs
+++ b/crates/zone-routing/src/lib.rs
@@ -1,24 +1,30 @@
-//! Locality-aware routing between zones: one leader plans which share of each zone's work goes to which zone, and all
-//! schedulers act on that plan. Work stays in its zone while the zone has capacity; what is over goes elsewhere, no more
-//! than there is capacity for.
+//! Locality-aware routing between zones. One elected leader plans which share of each zone's work goes to
+//! which zone, and all schedulers follow that plan. Work stays in its zone while the zone has capacity. The
+//! excess goes to other zones, and no more of it than they have capacity for.
 //!
-//! **Invariants.** A plan's shares and its rejected share sum to the whole of each zone's work. No zone is planned above
-//! [`Settings::target_utilization`] unless work would be rejected otherwise, and never above
-//! [`Settings::max_utilization`]. Work leaves a zone only where that zone has no capacity for it. The same load gives the
-//! same plan. A plan that would change by little is not changed, and never more often than
-//! [`Settings::max_changes_per_minute`], whatever flaps.
+//! **Invariants.**
 //!
-//! Four parts, each driven by its caller, with no I/O, no clock and no randomness:
+//! - For each origin zone, the planned shares and the rejected share sum to 1.
+//! - A zone is planned above [`Settings::target_utilization`] only if work would otherwise be rejected, and
+//!   never above [`Settings::max_utilization`].
+//! - Work leaves a zone only if the zone has no capacity for it.
+//! - The same load gives the same plan.
+//! - A plan is not replaced by one that differs only slightly, and plans change at most
+//!   [`Settings::max_changes_per_minute`] times per minute, even if zones or routes flap.
+//!
+//! The crate has four parts. Each is driven by its caller and does no I/O, reads no clock and uses no
+//! randomness:
 //!
 //! | part | input | output |
 //! | --- | --- | --- |
-//! | [`ZoneLoadReport`] | [`SchedulerZoneReport`]: what one scheduler observed in one interval, of its own work and of the route to each zone | the sum over a zone's schedulers: the same in any order of summation, no larger for 300 schedulers than for 10 |
-//! | [`Planner`] | [`ClusterLoad`]: the newest report of each zone | a new [`Plan`] with its [`ReplanReason`], where there is reason for one. Run by the leader of the planning role, under its term |
-//! | [`PlanFollower`] | plans as the leader publishes them | the [`RoutingMode`] of one scheduler: a plan newer than its own takes effect at the time that it states; without any, two bounded steps back to local routing |
-//! | [`RouteCostModel`] | one zone's shares, and the jobs sent | a cost for each zone that keeps the shares |
+//! | [`ZoneLoadReport`] | [`SchedulerZoneReport`]: what one scheduler observed in one interval, about its own work and about the route to each zone | the sum over a zone's schedulers; it does not depend on the order of summation, and is no larger for 300 schedulers than for 10 |
+//! | [`Planner`] | [`ClusterLoad`]: the newest report of each zone | a new [`Plan`] with its [`ReplanReason`], if a change is needed. Run by the leader of the planning role, under its term |
+//! | [`PlanFollower`] | the plans that the leader publishes | the [`RoutingMode`] of one scheduler. A newer plan takes effect at the time that it states; if no plan arrives any more, routing returns to local in two bounded steps |
+//! | [`RouteCostModel`] | one zone's shares, and the jobs sent so far | a cost for each target zone that steers jobs towards the shares |
 //!
-//! **What it is not.** It selects no worker: the policy does, per job, with the class's rules. It does not know whether a
-//! zone is down or partitioned: it plans by the route from each zone to each, as the schedulers there observed it.
+//! **Out of scope.** This crate does not select workers: the policy crate does, for each job, by the rules of
+//! the job's class. It does not determine whether a zone is down or partitioned either: it plans with the
+//! state of the route from each zone to each other zone, as the schedulers of the origin zone observed it.
 
 mod capacity;
 mod change_budget;
@@ -38,8 +44,9 @@
 pub use route_cost::RouteCostModel;
 pub use settings::Settings;
 
-/// Unix time in milliseconds, on the clock that all machines read.
+/// Unix time or a duration, in milliseconds. The planner and the schedulers compare times of different
+/// machines, so their clocks must be synchronized.
 pub type Millis = u64;
 
-/// The most zones of a deployment: a plan between so many still fits a datagram.
+/// Maximum number of zones in a deployment. The encoded plan for this many zones fits into one datagram.
 pub const MAX_ZONES: usize = 12;
--- a/crates/zone-routing/src/load_report.rs
+++ b/crates/zone-routing/src/load_report.rs
@@ -1,20 +1,22 @@
-//! Observed load: what one scheduler reports, its sum over a zone's schedulers, and the newest sums of all zones.
+//! Observed load: the report of one scheduler, the sum over a zone's schedulers, and the newest sum of each
+//! zone.
 
 use crate::{MAX_ZONES, Millis};
 use serde::{Deserialize, Serialize};
 
-/// The load of a zone is reported in hundredths of a slot.
+/// Demand is reported in hundredths of a slot.
 const CENTISLOTS_PER_SLOT: f64 = 100.0;
 
-/// Counts for the route from a scheduler, or from a zone's schedulers, to a zone.
+/// Counters for the route to one zone, from one scheduler or summed over all schedulers of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RouteStats {
-    /// Slots of workers there that are believed ready; a worker that is warming up counts in part. In a
-    /// [`ZoneLoadReport`] this is the sum over all reporting schedulers, to be divided by their number.
+    /// Slots of the workers in the target zone that are believed ready; a worker that is warming up counts in
+    /// part. In a [`ZoneLoadReport`] this is the sum over all reporting schedulers; divide it by their
+    /// number.
     pub ready_slots: u32,
-    /// Attempts in the interval that reached a worker there, whatever their outcome.
+    /// Attempts in the interval that reached a worker in the target zone, whatever their outcome.
     pub reached: u32,
-    /// Attempts in the interval that got no connection, or lost it.
+    /// Attempts in the interval whose connection could not be opened, or was lost.
     pub failed: u32,
 }
 
@@ -26,28 +28,28 @@
     }
 }
 
-/// What one scheduler observed in one interval.
+/// What one scheduler observed in one reporting interval.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SchedulerZoneReport {
-    /// Slots that the work of its own clients needs, in hundredths.
+    /// Slots that the work of the scheduler's own clients needs, in hundredths of a slot.
     pub offered_centislots: u32,
-    /// The route to each zone, by zone index.
+    /// Counters of the route to each zone, by zone index.
     pub routes: Vec<RouteStats>,
 }
 
-/// The sum of what a zone's schedulers observed. Summation is commutative and associative.
+/// The sum of the reports of a zone's schedulers. Summation is commutative and associative.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ZoneLoadReport {
-    /// How many schedulers reported.
+    /// Number of schedulers whose reports are summed.
     pub scheduler_count: u32,
-    /// Slots that the work of all their clients needs, in hundredths.
+    /// Slots that the work of all their clients needs, in hundredths of a slot.
     pub offered_centislots: u32,
-    /// The route to each zone, by zone index.
+    /// Counters of the route to each zone, by zone index.
     pub routes: Vec<RouteStats>,
 }
 
 impl ZoneLoadReport {
-    /// Adds the report of one scheduler of this zone.
+    /// Adds the report of one scheduler of the zone.
     pub fn add(&mut self, report: &SchedulerZoneReport) {
         self.merge(&ZoneLoadReport {
             scheduler_count: 1,
@@ -56,7 +58,7 @@
         });
     }
 
-    /// Adds another sum of the same zone.
+    /// Adds another sum over schedulers of the same zone.
     pub fn merge(&mut self, other: &ZoneLoadReport) {
         self.scheduler_count = self.scheduler_count.saturating_add(other.scheduler_count);
         self.offered_centislots = self.offered_centislots.saturating_add(other.offered_centislots);
@@ -67,19 +69,20 @@
         }
     }
 
-    /// Slots that the work of this zone's clients needs.
+    /// Slots that the work of the zone's clients needs.
     pub(crate) fn offered_slots(&self) -> f64 {
         f64::from(self.offered_centislots) / CENTISLOTS_PER_SLOT
     }
 
-    /// Slots ready in a zone, on average over the reporting schedulers.
+    /// Ready slots of a zone, averaged over the reporting schedulers; `None` if the report does not cover the
+    /// zone.
     fn ready_slots(&self, zone: usize) -> Option<f64> {
         let route = self.routes.get(zone).filter(|_| self.scheduler_count > 0)?;
         Some(f64::from(route.ready_slots) / f64::from(self.scheduler_count))
     }
 }
 
-/// A zone's report and the time that it was made.
+/// A zone's report and the time at which it was made.
 #[derive(Clone, Debug, PartialEq)]
 struct TimedReport {
     made_at: Millis,
@@ -93,12 +96,12 @@
 }
 
 impl ClusterLoad {
-    /// Without any report, for so many zones.
+    /// Holds no reports yet. At most [`MAX_ZONES`] zones are stored.
     pub fn new(zone_count: usize) -> ClusterLoad {
         ClusterLoad { reports: vec![None; zone_count.min(MAX_ZONES)] }
     }
 
-    /// Stores a zone's report unless a newer one is stored. A zone index out of range is ignored.
+    /// Stores a zone's report unless a newer one is stored. A zone index that is out of range is ignored.
     pub fn handle_report(&mut self, made_at: Millis, zone: usize, report: ZoneLoadReport) {
         if let Some(stored) = self.reports.get_mut(zone)
             && stored.as_ref().is_none_or(|stored| stored.made_at <= made_at)
@@ -107,7 +110,7 @@
         }
     }
 
-    /// How many zones there are.
+    /// Number of zones, with or without a report.
     pub fn zone_count(&self) -> usize {
         self.reports.len()
     }
@@ -118,8 +121,8 @@
         (stored.made_at >= oldest).then_some(&stored.report)
     }
 
-    /// Slots ready in a zone as its own schedulers report them, or without a fresh report of theirs, the average over the
-    /// other zones' reports.
+    /// Ready slots of a zone. They are read from the zone's own report or, if that is missing or older than
+    /// `oldest`, averaged over the fresh reports of the other zones.
     pub(crate) fn ready_slots(&self, zone: usize, oldest: Millis) -> f64 {
         let own = self.fresh_report(zone, oldest).and_then(|report| report.ready_slots(zone));
         own.unwrap_or_else(|| self.ready_slots_by_others(zone, oldest))
--- a/crates/zone-routing/src/load_report/tests.rs
+++ b/crates/zone-routing/src/load_report/tests.rs
@@ -10,25 +10,28 @@
 
 proptest! {
     #[test]
-    fn sums_are_commutative_and_associative(all in proptest::collection::vec(scheduler_report(), 0..20), cut in 0..20usize) {
-        let sum = |part: &[SchedulerZoneReport]| {
+    fn sums_are_commutative_and_associative(
+        reports in proptest::collection::vec(scheduler_report(), 0..20),
+        cut in 0..20usize,
+    ) {
+        let sum = |reports: &[SchedulerZoneReport]| {
             let mut report = ZoneLoadReport::default();
-            part.iter().for_each(|one| report.add(one));
+            reports.iter().for_each(|one| report.add(one));
             report
         };
-        let whole = sum(&all);
-        let (front, back) = all.split_at(cut.min(all.len()));
+        let whole = sum(&reports);
+        let (front, back) = reports.split_at(cut.min(reports.len()));
         let mut grouped = sum(back);
         grouped.merge(&sum(front));
         prop_assert_eq!(&whole, &grouped);
-        // No larger for many than for one.
-        let bytes = postcard::to_allocvec(&whole).expect("bytes");
+        // The size is bounded, however many reports are summed.
+        let bytes = postcard::to_allocvec(&whole).expect("the report encodes");
         prop_assert!(bytes.len() <= 5 + 5 + 1 + 8 * 15);
     }
 }
 
 #[test]
-fn an_older_report_is_ignored_and_a_silent_zones_slots_come_from_the_others() {
+fn older_reports_are_ignored_and_slots_of_a_zone_without_report_come_from_the_others() {
     let mut load = ClusterLoad::new(2);
     let report = |ready_slots| ZoneLoadReport {
         scheduler_count: 2,
--- a/crates/zone-routing/src/plan.rs
+++ b/crates/zone-routing/src/plan.rs
@@ -1,19 +1,20 @@
-//! The plan, its version, and its encoding.
+//! The plan, its version and its wire encoding.
 
 use crate::{MAX_ZONES, Millis};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// The longest encoded plan: a datagram has 256 bytes, of which the rest is for the fencing token and the kind.
+/// Maximum length of an encoded plan. A datagram has 256 bytes; the rest is for the fencing token and the
+/// message kind.
 pub const MAX_PLAN_BYTES: usize = 217;
 
 /// Shares are encoded in units of 1/200.
 pub(crate) const SHARE_UNITS: u8 = 200;
 
-/// Shares of work by origin zone, then by target zone, each from 0 to 1.
+/// Shares of work by origin zone, then by target zone; each is from 0 to 1.
 pub type ShareMatrix = Vec<Vec<f64>>;
 
-/// The term of the leader that plans. Ordered by its fields from first to last.
+/// The term of the leader of the planning role. Terms are ordered by their fields, from first to last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlannerTerm {
     /// The era of the view's epoch.
@@ -24,7 +25,7 @@
     pub ballot: u32,
     /// The ordinal of the process that proposed that ballot.
     pub proposer: u32,
-    /// Counts grants under that ballot.
+    /// The number of the grant under that ballot.
     pub step: u32,
 }
 
@@ -40,76 +41,78 @@
     }
 }
 
-/// A plan's place in the order of all plans: the leader's term, then the leader's own sequence number.
+/// A plan's position in the total order of all plans: the leader's term, then the leader's sequence number.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlanVersion {
-    /// Grows with each leader.
+    /// The leader's term. It increases with each new leader.
     pub term: PlannerTerm,
-    /// Grows with each plan of one leader.
+    /// Increases with each plan of one leader.
     pub sequence: u32,
 }
 
-/// Which share of each zone's work goes to which zone.
+/// Assigns the work of each zone to target zones by shares.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Plan {
-    /// Its place in the order of all plans.
+    /// The plan's position in the total order of all plans.
     pub version: PlanVersion,
-    /// The time that it takes effect.
+    /// When the plan takes effect.
     pub active_from: Millis,
     zone_count: u8,
-    /// In units of 1/200, row by row: by origin, then by target. What a row lacks to the whole is rejected.
+    /// Shares in units of 1/200, by origin, then by target. If a row sums to less than 200, the rest of the
+    /// origin's work is rejected.
     share_units: Vec<u8>,
 }
 
-/// Why bytes are not a plan.
+/// Why bytes could not be decoded as a plan.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DecodePlanError {
-    /// More bytes than any plan has.
-    #[error("{length} bytes, at most {MAX_PLAN_BYTES} are a plan")]
+    /// The input is longer than any encoded plan.
+    #[error("encoded plan too long: {length} bytes, at most {MAX_PLAN_BYTES} allowed")]
     TooLong {
-        /// How many there are.
+        /// Length of the input in bytes.
         length: usize,
     },
-    /// The bytes end early or hold a number out of range.
+    /// The input ends early, or holds a number that is out of range.
     #[error("malformed plan")]
     Malformed(#[from] postcard::Error),
-    /// Bytes follow the plan.
-    #[error("{length} bytes after the plan")]
+    /// The plan is followed by more bytes.
+    #[error("{length} trailing bytes after the encoded plan")]
     TrailingBytes {
-        /// How many.
+        /// Number of bytes after the plan.
         length: usize,
     },
-    /// No zones, or too many.
-    #[error("{zone_count} zones, a plan has 1 to {MAX_ZONES}")]
+    /// The plan has no zones, or too many.
+    #[error("plan has {zone_count} zones, expected 1 to {MAX_ZONES}")]
     ZoneCount {
-        /// How many there are.
+        /// Number of zones in the plan.
         zone_count: usize,
     },
-    /// The number of shares is not the number of zones squared.
-    #[error("{share_count} shares for {zone_count} zones")]
+    /// The number of shares is not the square of the number of zones.
+    #[error("plan has {share_count} shares for {zone_count} zones, expected zones squared")]
     ShareCount {
-        /// How many shares there are.
+        /// Number of shares in the plan.
         share_count: usize,
-        /// How many zones there are.
+        /// Number of zones in the plan.
         zone_count: usize,
     },
-    /// A zone's shares sum to more than one.
-    #[error("the shares of zone {origin} sum to more than one")]
+    /// The shares of an origin zone sum to more than 1.
+    #[error("shares of origin zone {origin} sum to more than 1")]
     ShareSum {
-        /// The zone whose work is shared out.
+        /// The origin zone, by index.
         origin: usize,
     },
 }
 
 impl Plan {
-    /// All work stays in its zone.
+    /// A plan that keeps all work in its zone. Its version is the lowest, and it is in effect at any time.
     pub fn local_only(zone_count: usize) -> Plan {
         let zone_count = zone_count.min(MAX_ZONES);
         let shares: ShareMatrix = (0..zone_count).map(|origin| local_row(origin, zone_count)).collect();
         Plan::new(PlanVersion::default(), 0, &shares)
     }
 
-    /// Of shares by origin and target; what a row lacks to one is rejected.
+    /// A plan with these shares, by origin, then by target, rounded to units of 1/200. If a row sums to less than
+    /// 1, the rest of the origin's work is rejected.
     pub fn new(version: PlanVersion, active_from: Millis, shares: &[Vec<f64>]) -> Plan {
         let zone_count = shares.len().min(MAX_ZONES);
         let share_units =
@@ -117,12 +120,12 @@
         Plan { version, active_from, zone_count: zone_count as u8, share_units }
     }
 
-    /// How many zones it is for.
+    /// Number of zones in the plan.
     pub fn zone_count(&self) -> usize {
         usize::from(self.zone_count)
     }
 
-    /// The share of a zone's work that goes to another; 0 for a zone that is not in the plan.
+    /// The share of the origin zone's work that goes to the target zone; 0 if either zone is not in the plan.
     pub fn share(&self, origin: usize, target: usize) -> f64 {
         let zone_count = self.zone_count();
         if origin >= zone_count || target >= zone_count {
@@ -131,17 +134,17 @@
         f64::from(self.share_units[origin * zone_count + target]) / f64::from(SHARE_UNITS)
     }
 
-    /// The share of a zone's work that no zone has capacity for.
+    /// The share of the origin zone's work that is rejected, since no zone has capacity for it.
     pub fn rejected_share(&self, origin: usize) -> f64 {
         1.0 - (0..self.zone_count()).map(|target| self.share(origin, target)).sum::<f64>()
     }
 
-    /// The plan as bytes, [`MAX_PLAN_BYTES`] at most.
+    /// Encodes the plan into at most [`MAX_PLAN_BYTES`] bytes.
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// The plan that these bytes are, and nothing else.
+    /// Decodes and validates a plan. The bytes must hold nothing but the plan.
     pub fn decode(bytes: &[u8]) -> Result<Plan, DecodePlanError> {
         if bytes.len() > MAX_PLAN_BYTES {
             return Err(DecodePlanError::TooLong { length: bytes.len() });
@@ -171,7 +174,7 @@
     }
 }
 
-/// The shares of a zone whose work all stays there.
+/// The row of shares of a zone that keeps all of its work local.
 pub(crate) fn local_row(origin: usize, zone_count: usize) -> Vec<f64> {
     (0..zone_count).map(|target| f64::from(u8::from(origin == target))).collect()
 }
@@ -180,7 +183,7 @@
     units.iter().map(|&units| u32::from(units)).sum()
 }
 
-/// Shares in whole units, by the largest remainder method, so that the sum is kept.
+/// Rounds a row of shares to whole units by the largest remainder method, which preserves the sum.
 fn round_to_units(row: &[f64], zone_count: usize) -> Vec<u8> {
     let exact: Vec<f64> = (0..zone_count)
         .map(|target| row.get(target).copied().unwrap_or(0.0).clamp(0.0, 1.0) * f64::from(SHARE_UNITS))
--- a/crates/zone-routing/src/plan/tests.rs
+++ b/crates/zone-routing/src/plan/tests.rs
@@ -3,42 +3,49 @@
 
 proptest! {
     #[test]
-    fn any_shares_round_trip_within_one_unit_and_fit_a_datagram(
+    fn shares_round_trip_within_one_unit_and_fit_into_a_datagram(
         zones in 1..=MAX_ZONES,
         weights in proptest::collection::vec(0.0..1.0f64, MAX_ZONES * MAX_ZONES),
-        whole in proptest::collection::vec(0.0..=1.0f64, MAX_ZONES),
+        served in proptest::collection::vec(0.0..=1.0f64, MAX_ZONES),
     ) {
         let shares: Vec<Vec<f64>> = (0..zones)
-            .map(|i| {
-                let row = &weights[i * zones..(i + 1) * zones];
+            .map(|origin| {
+                let row = &weights[origin * zones..(origin + 1) * zones];
                 let sum = row.iter().sum::<f64>().max(1e-9);
-                row.iter().map(|weight| weight / sum * whole[i]).collect()
+                row.iter().map(|weight| weight / sum * served[origin]).collect()
             })
             .collect();
-        let plan = Plan::new(PlanVersion { term: [u32::MAX; 5].into(), sequence: u32::MAX }, u64::MAX, &shares);
+        let plan =
+            Plan::new(PlanVersion { term: [u32::MAX; 5].into(), sequence: u32::MAX }, u64::MAX, &shares);
         let bytes = plan.encode();
         prop_assert!(bytes.len() <= MAX_PLAN_BYTES, "{} bytes", bytes.len());
         prop_assert_eq!(Plan::decode(&bytes), Ok(plan.clone()));
-        for (i, row) in shares.iter().enumerate() {
-            prop_assert!((plan.rejected_share(i) - (1.0 - whole[i])).abs() <= 1.0 / f64::from(SHARE_UNITS), "{:?}", row);
-            for (j, share) in row.iter().enumerate() {
-                prop_assert!((plan.share(i, j) - share).abs() <= 1.0 / f64::from(SHARE_UNITS));
+        for (origin, row) in shares.iter().enumerate() {
+            prop_assert!(
+                (plan.rejected_share(origin) - (1.0 - served[origin])).abs() <= 1.0 / f64::from(SHARE_UNITS),
+                "{:?}",
+                row
+            );
+            for (target, share) in row.iter().enumerate() {
+                prop_assert!((plan.share(origin, target) - share).abs() <= 1.0 / f64::from(SHARE_UNITS));
             }
         }
     }
 
     #[test]
-    fn any_bytes_decode_to_a_valid_plan_or_an_error(bytes in proptest::collection::vec(any::<u8>(), 0..260)) {
+    fn random_bytes_decode_to_a_valid_plan_or_an_error(
+        bytes in proptest::collection::vec(any::<u8>(), 0..260),
+    ) {
         if let Ok(plan) = Plan::decode(&bytes) {
-            for i in 0..plan.zone_count() {
-                prop_assert!((-1e-9..=1.0).contains(&plan.rejected_share(i)));
+            for origin in 0..plan.zone_count() {
+                prop_assert!((-1e-9..=1.0).contains(&plan.rejected_share(origin)));
             }
         }
     }
 }
 
 #[test]
-fn bytes_that_are_no_plan_are_rejected_with_the_reason() {
+fn invalid_bytes_are_rejected_with_the_reason() {
     let plan = Plan::new(PlanVersion::default(), 0, &[vec![0.75, 0.25], vec![0.0, 1.0]]);
     let encode = |plan: Plan| plan.encode();
     let cases = [
--- a/crates/zone-routing/src/plan_follower.rs
+++ b/crates/zone-routing/src/plan_follower.rs
@@ -1,33 +1,33 @@
-//! Which plan a scheduler follows, and what it does when none arrives any more.
+//! Determines which plan a scheduler follows, and how it routes when plans stop arriving.
 
 use crate::{Millis, Plan, PlanVersion};
 
-/// A plan was ignored, since a newer version is known.
+/// A plan was ignored because a newer version has already been received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("stale plan: version {}/{} is known", newest.term, newest.sequence)]
+#[error("stale plan: newer version {}/{} was already received", newest.term, newest.sequence)]
 pub struct StalePlan {
-    /// The newest version known.
+    /// The newest version received so far.
     pub newest: PlanVersion,
 }
 
-/// How a scheduler routes its work.
+/// How a scheduler routes the work of its clients.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RoutingMode {
-    /// By the plan: its own zone's shares, by target.
+    /// According to a plan. Holds the shares of the scheduler's own zone, by target.
     Planned(Vec<f64>),
-    /// There is no plan, or it has expired. Work stays in its zone, and what the zone has no capacity for goes elsewhere
-    /// by this scheduler's own observations.
+    /// There is no plan in effect, or it has expired. Work stays in its zone; the excess goes to other zones
+    /// as this scheduler's own observations allow.
     LocalFallback {
-        /// The share of the work that may leave the zone, at most.
+        /// Upper bound of the share of the work that may leave the zone.
         max_spill: f64,
     },
 }
 
-/// Follows the leader's plans for one scheduler.
+/// Follows the leader's plans on behalf of one scheduler.
 ///
-/// A plan newer than the known ones takes effect at the time that it states; until then the one before it stays active.
-/// Routing returns to local in two bounded steps where the plan is not received again: after its TTL half of each remote
-/// share becomes local, after 1.5 TTL all of it.
+/// A newer plan takes effect at the time that it states; until then the previous plan stays active. If the
+/// newest plan is not received again, routing returns to local in two bounded steps: after the plan's TTL,
+/// half of each remote share becomes local; after 1.5 times the TTL, all of it does.
 #[derive(Clone, Debug)]
 pub struct PlanFollower {
     local_zone: usize,
@@ -38,7 +38,8 @@
     received_at: Option<Millis>,
 }
 
-/// Upper bound of the share that may leave a zone without a plan, since all schedulers of the zone spill uncoordinated.
+/// Upper bound of the share of work that may leave a zone without a plan. It is low because all schedulers of
+/// the zone spill without coordination.
 const MAX_UNCOORDINATED_SPILL: f64 = 0.1;
 
 impl PlanFollower {
@@ -54,7 +55,8 @@
         }
     }
 
-    /// A plan was received, for the first time or again.
+    /// Handles a plan that was received for the first time or again. Any plan that is not stale restarts the
+    /// TTL.
     pub fn handle_plan(&mut self, now: Millis, plan: Plan) -> Result<(), StalePlan> {
         if plan.version < self.newest {
             return Err(StalePlan { newest: self.newest });
@@ -62,7 +64,7 @@
         self.received_at = Some(now);
         if plan.version > self.newest {
             self.newest = plan.version;
-            // A pending plan whose time has come takes effect before the newer one replaces it.
+            // A pending plan that is due takes effect before the newer plan replaces it.
             self.activate_pending(now);
             self.pending = Some(plan);
         }
@@ -76,18 +78,18 @@
         }
     }
 
-    /// The newest version received.
+    /// The newest version received; the default version before the first plan.
     pub fn newest_version(&self) -> PlanVersion {
         self.newest
     }
 
-    /// The plan in effect.
+    /// The plan in effect at `now`, even if its TTL has expired; `None` before the first plan takes effect.
     pub fn active_plan(&mut self, now: Millis) -> Option<&Plan> {
         self.activate_pending(now);
         self.active.as_ref()
     }
 
-    /// How to route at this moment.
+    /// How to route work at `now`.
     pub fn routing_mode(&mut self, now: Millis) -> RoutingMode {
         self.activate_pending(now);
         let (Some(plan), Some(received_at)) = (&self.active, self.received_at) else {
@@ -100,7 +102,8 @@
         let mut shares: Vec<f64> =
             (0..plan.zone_count()).map(|target| plan.share(self.local_zone, target)).collect();
         if age >= self.plan_ttl {
-            // Half of the way back to local, so that the local zone does not get all of this work at once.
+            // The intermediate step halves the remote shares, so that the local zone does not get all of this
+            // work at once.
             shares.iter_mut().for_each(|share| *share *= 0.5);
             if let Some(local) = shares.get_mut(self.local_zone) {
                 *local += 0.5;
--- a/crates/zone-routing/src/planner.rs
+++ b/crates/zone-routing/src/planner.rs
@@ -1,7 +1,8 @@
-//! From observed load to a plan, and when to change the plan.
+//! Computes a plan from the observed load, and decides when the plan is replaced.
 //!
-//! Shares come from water-filling (`water_fill`) over the capacity model (`capacity`). A linear program would serve as
-//! much and jump between corners: see the design page.
+//! Shares come from water-filling (`water_fill`) over the capacity model (`capacity`). A linear program would
+//! serve as much work, but its solution jumps between corners of the feasible region when the load changes
+//! slightly: see the design page.
 
 use crate::capacity::CapacityModel;
 use crate::change_budget::ChangeBudget;
@@ -9,19 +10,19 @@
 use crate::suspect_routes::SuspectRoutes;
 use crate::{ClusterLoad, Millis, Plan, PlanVersion, PlannerTerm, Settings};
 
-/// Why a plan was changed.
+/// Why a plan was replaced.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplanReason {
-    /// There was no plan.
+    /// There was no plan before.
     Initial,
-    /// The plan sends work over a route that can't be used, or more than a zone has capacity for.
+    /// The previous plan sends work over an unusable route, or more work to a zone than it has capacity for.
     Urgent,
-    /// By the present load work could stay more local, or be spread more evenly.
+    /// With the current load, work can stay more local or be spread more evenly.
     Improvement,
 }
 
 impl ReplanReason {
-    /// The changes that the budget must allow. An improvement leaves one for an urgent change.
+    /// The number of changes that the budget must allow. An improvement leaves one for an urgent change.
     fn required_budget(self) -> u64 {
         if self == ReplanReason::Improvement { 2 } else { 1 }
     }
@@ -30,16 +31,17 @@
 /// A new plan and why it was made.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Replan {
-    /// The plan.
+    /// The new plan.
     pub plan: Plan,
-    /// Why the one before it was changed.
+    /// Why the previous plan was replaced.
     pub reason: ReplanReason,
 }
 
-/// Makes the plans of one leader under one term.
+/// Computes the plans of one leader under one term.
 ///
-/// A violated plan is replaced at once; an improvement must hold for the stabilization period. Both are bounded by the
-/// change budget, and neither replaces a plan by one that differs by less than the minimum share change.
+/// An infeasible plan is replaced at once; an improvement must remain possible for the stabilization period.
+/// Both are limited by the change budget, and a plan is never replaced by one whose shares all differ by no
+/// more than the minimum share change.
 #[derive(Clone, Debug)]
 pub struct Planner {
     settings: Settings,
@@ -47,31 +49,32 @@
     sequence: u32,
     plan: Option<Plan>,
     change_budget: ChangeBudget,
-    /// Since when an improvement has been possible, without a break.
+    /// Start of the current uninterrupted period in which an improvement is possible.
     improvable_since: Option<Millis>,
     suspect_routes: SuspectRoutes,
 }
 
 impl Planner {
-    /// The planner of a leader under a new term. `known`: the plan that it starts from.
-    pub fn new(now: Millis, settings: Settings, term: PlannerTerm, known: Option<Plan>) -> Planner {
+    /// The planner of a leader under a new term. `current_plan` is the plan to start from, if the leader
+    /// knows one.
+    pub fn new(now: Millis, settings: Settings, term: PlannerTerm, current_plan: Option<Plan>) -> Planner {
         Planner {
             change_budget: ChangeBudget::new(now, settings.max_changes_per_minute),
             settings,
             term,
             sequence: 0,
-            plan: known,
+            plan: current_plan,
             improvable_since: None,
             suspect_routes: SuspectRoutes::default(),
         }
     }
 
-    /// The term under which it plans.
+    /// The leader's term, under which all plans of this planner are published.
     pub fn term(&self) -> PlannerTerm {
         self.term
     }
 
-    /// The plan in effect or about to be.
+    /// The newest plan, which is in effect or about to take effect.
     pub fn plan(&self) -> Option<&Plan> {
         self.plan.as_ref()
     }
@@ -84,7 +87,7 @@
         CapacityModel::new(now, &self.settings, load, zone_count, &suspect_routes).ideal_shares()
     }
 
-    /// Returns a new plan for this load, if there is reason for one.
+    /// Returns a new plan for this load, if the plan must be replaced.
     pub fn replan(&mut self, now: Millis, load: &ClusterLoad) -> Option<Replan> {
         let zone_count = self.zone_count(load);
         if zone_count == 0 {
@@ -94,8 +97,8 @@
         self.change_budget.refill(now);
         let model = CapacityModel::new(now, &self.settings, load, zone_count, &self.suspect_routes);
         let shares = model.ideal_shares();
-        let is_violated = self.plan.as_ref().is_some_and(|plan| model.is_violated_by(plan));
-        let reason = self.replan_reason(now, &shares, is_violated)?;
+        let is_infeasible = self.plan.as_ref().is_some_and(|plan| model.is_infeasible(plan));
+        let reason = self.replan_reason(now, &shares, is_infeasible)?;
         if !self.differs(&shares) || !self.change_budget.allows(reason.required_budget()) {
             return None;
         }
@@ -106,12 +109,17 @@
         load.zone_count().min(self.settings.crossing_cost.len())
     }
 
-    /// Why the plan should be changed now, if it should.
-    fn replan_reason(&mut self, now: Millis, shares: &[Vec<f64>], is_violated: bool) -> Option<ReplanReason> {
+    /// Why the plan should be replaced now; `None` if it should not be.
+    fn replan_reason(
+        &mut self,
+        now: Millis,
+        shares: &[Vec<f64>],
+        is_infeasible: bool,
+    ) -> Option<ReplanReason> {
         if self.plan.is_none() {
             return Some(ReplanReason::Initial);
         }
-        if is_violated {
+        if is_infeasible {
             return Some(ReplanReason::Urgent);
         }
         if !self.differs(shares) {
@@ -122,7 +130,7 @@
         (now >= since + self.settings.stabilization_period).then_some(ReplanReason::Improvement)
     }
 
-    /// Whether these shares differ from the plan's by more than the minimum share change.
+    /// Whether any share differs from the plan's share by more than the minimum share change.
     fn differs(&self, shares: &[Vec<f64>]) -> bool {
         let Some(plan) = &self.plan else { return true };
         let min_share_change = self.settings.min_share_change;
--- a/crates/zone-routing/src/settings.rs
+++ b/crates/zone-routing/src/settings.rs
@@ -1,44 +1,48 @@
-//! Settings of the planner: costs of crossings, target utilizations, and bounds on how often the plan changes.
+//! Settings of the planner: cost of routes between zones, target utilizations, and bounds on how often the
+//! plan changes.
 
 use crate::Millis;
 
-/// Cost of a crossing between two zones of one region.
+/// Cost of a route between two zones of the same region.
 const SAME_REGION_COST: f64 = 1.0;
-/// Cost of a crossing between zones of different regions.
+/// Cost of a route between zones of different regions.
 const OTHER_REGION_COST: f64 = 10.0;
 
 /// Settings of the planner.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The cost of a crossing, by origin and target; infinity forbids it. Work goes over cheap crossings first.
+    /// Cost of sending work from one zone to another, by origin, then by target. Infinity forbids the route.
+    /// Work is placed over cheap routes first.
     pub crossing_cost: Vec<Vec<f64>>,
-    /// Upper bound of the utilization that is planned for a zone: see [`Settings::target_utilization_for`].
+    /// Upper bound of the utilization planned for a zone, as a fraction of its slots. Small zones get less:
+    /// see [`Settings::target_utilization_for`].
     pub target_utilization: f64,
-    /// Upper bound of the utilization that is planned where work would be rejected otherwise.
+    /// Upper bound of the utilization planned for a zone if work would otherwise be rejected, as a fraction
+    /// of its slots.
     pub max_utilization: f64,
-    /// Shares that would change by less are left as they are.
+    /// A new plan is published only if at least one share changes by more than this.
     pub min_share_change: f64,
-    /// New plans in a minute, at most.
+    /// Maximum number of new plans per minute.
     pub max_changes_per_minute: u32,
-    /// An improvement must hold for so long before it is planned.
+    /// How long an improvement must remain possible before it is planned.
     pub stabilization_period: Millis,
-    /// How long before it takes effect a plan is published.
+    /// Time between the publication of a plan and its activation.
     pub activation_lead: Millis,
-    /// A load report older than this is ignored.
+    /// Load reports older than this are ignored.
     pub report_ttl: Millis,
-    /// The share of a zone's work that probes its suspect local route.
+    /// Share of a zone's work that is sent over its local route as probes while that route is suspect.
     pub probe_fraction: f64,
 }
 
 impl Settings {
-    /// The utilization planned for a zone of so many slots. For the same waiting times, the idle fraction has to be
-    /// inversely proportional to the square root of their number (S. Halfin, W. Whitt, "Heavy-traffic limits for queues
-    /// with many exponential servers", 1981).
+    /// The target utilization of a zone with this many slots. Equal waiting times require an idle fraction
+    /// that is inversely proportional to the square root of the number of slots (S. Halfin, W. Whitt,
+    /// "Heavy-traffic limits for queues with many exponential servers", 1981).
     pub fn target_utilization_for(&self, slots: f64) -> f64 {
         (1.0 - 1.0 / slots.max(1.0).sqrt()).clamp(0.0, self.target_utilization)
     }
 
-    /// Default settings. `regions`: the region number of each zone.
+    /// Default settings for zones in these regions. `regions[zone]` is the index of the zone's region.
     pub fn of_regions(regions: &[usize]) -> Settings {
         let zone_count = regions.len();
         let cost_row = |origin| (0..zone_count).map(|target| region_cost(regions, origin, target)).collect();
--- a/crates/zone-routing/src/suspect_routes.rs
+++ b/crates/zone-routing/src/suspect_routes.rs
@@ -1,19 +1,20 @@
-//! Outlier detection for routes between zones: which ones have failed and were not observed to work since.
+//! Outlier detection for routes between zones: which routes have failed and have not been observed to work
+//! since.
 
 use crate::{ClusterLoad, Millis, RouteStats, Settings};
 use std::collections::BTreeMap;
 
-/// A suspect route is trusted again once its attempts have succeeded for so long.
+/// A suspect route is trusted again once its attempts have succeeded for this long.
 const RECOVERY_PERIOD: Millis = 2_000;
-/// A suspect route without attempts is trusted again after this: the planner sends no probes between zones, and by then
-/// the endpoint list shows which workers are gone.
+/// A suspect route is trusted again this long after its last failure, even if no attempts were made. The
+/// planner sends no probes between zones, and by then the endpoint list shows which workers are gone.
 const SUSPICION_TTL: Millis = 30_000;
-/// Fewer attempts than this do not make a route suspect.
+/// A report with fewer attempts than this does not make a route suspect.
 const MIN_ATTEMPTS: u32 = 5;
-/// A route is suspect from this fraction of failed attempts on.
+/// A route becomes suspect if at least this fraction of its attempts failed.
 const FAILURE_THRESHOLD: f64 = 0.5;
 
-/// The route from an origin zone to a target zone.
+/// The route from an origin zone to a target zone, by zone index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Route {
     origin: usize,
@@ -23,20 +24,20 @@
 #[derive(Clone, Copy, Debug)]
 struct Suspicion {
     failed_at: Millis,
-    /// Since when the attempts there have succeeded, without a failure between.
+    /// When attempts were first observed to succeed after `failed_at`; `None` if that has not happened yet.
     working_since: Option<Millis>,
 }
 
 impl Suspicion {
-    /// Whether the route is to be trusted again.
-    fn is_over(&self, now: Millis) -> bool {
+    /// Whether the route can be trusted again.
+    fn is_cleared(&self, now: Millis) -> bool {
         let recovered = self.working_since.is_some_and(|since| now >= since + RECOVERY_PERIOD);
         recovered || now >= self.failed_at + SUSPICION_TTL
     }
 }
 
-/// The set of suspect routes. A route stays suspect until it is observed to work, or its suspicion expires. An interval
-/// without attempts is no evidence that it works.
+/// The set of suspect routes. A route stays suspect until it is observed to work or its suspicion expires. An
+/// interval without attempts is no evidence that the route works.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SuspectRoutes {
     suspicions: BTreeMap<Route, Suspicion>,
@@ -48,7 +49,7 @@
         self.suspicions.contains_key(&Route { origin, target })
     }
 
-    /// Takes in what was observed of each route.
+    /// Updates the set from the fresh reports of all origin zones.
     pub fn update(&mut self, now: Millis, settings: &Settings, load: &ClusterLoad, zone_count: usize) {
         let oldest = now.saturating_sub(settings.report_ttl);
         for origin in 0..zone_count {
@@ -71,7 +72,7 @@
         if attempts > 0 {
             suspicion.working_since.get_or_insert(now);
         }
-        if suspicion.is_over(now) {
+        if suspicion.is_cleared(now) {
             self.suspicions.remove(&route);
         }
     }
--- a/crates/zone-routing/src/water_fill.rs
+++ b/crates/zone-routing/src/water_fill.rs
@@ -1,23 +1,25 @@
-//! Water-filling: demand flows into capacity over allowed routes, each origin in proportion to the capacity that it
-//! reaches, so that a small change of the load is a small change of the flow.
+//! Water-filling: demand is placed into capacity over allowed routes, by each origin in proportion to the
+//! free capacity that it can reach. A small change of the load therefore causes only a small change of the
+//! flow.
 
-/// Work and capacity below this, in slots, are taken for none.
+/// Amounts of work and capacity below this, in slots, are treated as zero.
 pub(crate) const EPSILON: f64 = 1e-6;
-/// Upper bound of the rounds of one filling. Demand that is left then is a rounding error, or reaches no free capacity.
+/// Upper bound of the rounds of one fill. Demand that is still unplaced then is a rounding error, or reaches
+/// no free capacity.
 const MAX_ROUNDS: usize = 24;
 
-/// The state of one filling, in slots.
+/// The state of one water-filling; all amounts are in slots.
 pub(crate) struct WaterFill {
-    /// Demand not yet placed, by origin.
+    /// Demand that is not yet placed, by origin.
     unplaced: Vec<f64>,
-    /// Capacity not yet used, by target.
+    /// Capacity that is not yet used, by target.
     free: Vec<f64>,
-    /// Demand placed, by origin and target.
+    /// Placed demand, by origin, then by target.
     flow: Vec<Vec<f64>>,
 }
 
 impl WaterFill {
-    /// All demand is unplaced, and there is no capacity yet.
+    /// Starts with all demand unplaced and without any capacity.
     pub fn new(demand: &[f64]) -> WaterFill {
         let zone_count = demand.len();
         WaterFill {
@@ -27,12 +29,12 @@
         }
     }
 
-    /// The demand placed, by origin and target.
+    /// The placed demand, by origin, then by target.
     pub fn flow(&self) -> &[Vec<f64>] {
         &self.flow
     }
 
-    /// Sets the total capacity of each target. Demand placed there before counts against it.
+    /// Sets the total capacity of each target. Demand that is already placed there counts against it.
     pub fn set_capacity(&mut self, capacity: impl Fn(usize) -> f64) {
         for target in 0..self.free.len() {
             let used = self.flow.iter().map(|row| row[target]).sum::<f64>();
@@ -40,7 +42,7 @@
         }
     }
 
-    /// Places unplaced demand over the allowed routes until none moves any more.
+    /// Places unplaced demand over the allowed routes until a round places no more.
     pub fn fill(&mut self, is_allowed: impl Fn(usize, usize) -> bool) {
         for _ in 0..MAX_ROUNDS {
             if self.fill_round(&is_allowed) <= EPSILON {
@@ -49,7 +51,7 @@
         }
     }
 
-    /// One round; how much demand was placed in it.
+    /// Performs one round and returns how much demand it placed.
     fn fill_round(&mut self, is_allowed: &impl Fn(usize, usize) -> bool) -> f64 {
         let requests = self.requests(is_allowed);
         let mut placed = 0.0;
@@ -70,8 +72,8 @@
         placed
     }
 
-    /// What each origin would send to each target: its unplaced demand, in proportion to the free capacity that it
-    /// reaches.
+    /// The amount that each origin requests from each target: its unplaced demand, split in proportion to the
+    /// free capacity of the targets that it can reach.
     fn requests(&self, is_allowed: &impl Fn(usize, usize) -> bool) -> Vec<Vec<f64>> {
         let zone_count = self.free.len();
         let request_row = |origin: usize| {
