--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,42 +1,42 @@
-//! What can be wrong with the adapter's input, and with its output stream.
+//! Errors in the adapter's input and on its output stream. Each of them ends the adapter.
 
 use std::io;
 
-/// Why the adapter stops: at which line of its input, and what is wrong there.
+/// An error, and the line of the input at which it occurred.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: {source}")]
 pub struct AdapterError {
-    /// The line's number, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong.
+    /// The error in that line's batch.
     pub source: BatchError,
 }
 
-/// What is wrong with a batch, or with answering it.
+/// An error in a batch, or in answering it.
 #[derive(Debug, thiserror::Error)]
 pub enum BatchError {
-    /// It could not be read, or its reply could not be written.
+    /// The batch could not be read, or the reply could not be written.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// It is not what the wire has.
-    #[error("not a batch: {0}")]
+    /// The line is not a batch in the wire format.
+    #[error("malformed batch: {0}")]
     Malformed(#[source] serde_json::Error),
-    /// Its reply could not be written.
+    /// The reply could not be serialized or written.
     #[error(transparent)]
     Reply(serde_json::Error),
-    /// An event is for an instance that does not exist.
-    #[error("event for {0:?}, which was never booted")]
+    /// An event is addressed to an instance that does not exist.
+    #[error("event for instance {0:?}, which is not booted")]
     UnknownInstance(String),
-    /// A directory is for a slot beyond the last one.
-    #[error("directory slot {0}")]
+    /// A directory has a slot number beyond the last slot.
+    #[error("directory slot {0} out of range")]
     InvalidSlot(usize),
-    /// A list event has no slot, though it needs one.
-    #[error("BackendsChanged without a slot")]
+    /// A list event that needs a directory slot has none.
+    #[error("BackendsChanged event without a directory slot")]
     MissingSlot,
-    /// A list event refers to a slot without a directory.
-    #[error("no directory in slot {0}")]
+    /// A list event refers to a directory slot that holds no directory.
+    #[error("directory slot {0} is empty")]
     EmptySlot(usize),
-    /// An attempt or health check ended by an unknown code.
+    /// An attempt or a health check ended with an outcome code that is not defined.
     #[error("unknown outcome code {0}")]
     UnknownOutcome(u32),
 }
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of this process: one dispatcher each, and the ids that it has for workers.
+//! The dispatcher instances that this process hosts. Each numbers its workers on its own.
 
 use crate::error::BatchError;
 use crate::wire::{DirectoryEntry, JOB_PROGRESS, JOB_STARTED, WireAction, WireEvent, WireListKind, outcome};
@@ -10,16 +10,17 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::rc::Rc;
 
-/// Directories are numbered from 0 to one less than this.
+/// Number of directory slots; they are numbered from 0.
 const DIRECTORY_SLOTS: usize = 16;
 
-/// The directories by slot.
+/// The directories by slot; `None` where none has been received.
 type Directories = [Option<Rc<Vec<DirectoryEntry>>>; DIRECTORY_SLOTS];
 
-/// One instance. Workers get ids in the order in which its lists name them first.
+/// One dispatcher instance. Workers get ids in the order in which its lists first name them.
 struct Instance {
     dispatcher: Dispatcher,
     worker_ids: HashMap<String, WorkerId>,
+    /// Names of the workers, by id.
     worker_names: Vec<String>,
 }
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /// A worker's id, which is assigned when it is first named.
+    /// The id of a worker, which is assigned when the worker is first named.
     fn worker_id(&mut self, worker: &str) -> WorkerId {
         if let Some(&id) = self.worker_ids.get(worker) {
             return id;
@@ -47,15 +48,16 @@
         directory.iter().map(|entry| entry.worker_entry(self.worker_id(&entry.worker))).collect()
     }
 
-    /// The decision module's event for an event of the wire; `None`: the module has none.
+    /// Converts an event of the wire to an event of the decision module; `None` if the module has no such
+    /// event.
     fn event(&mut self, directories: &Directories, event: WireEvent) -> Result<Option<Event>, BatchError> {
         Ok(Some(match event {
             WireEvent::BackendsChanged { kind, slot, .. } => self.list_event(directories, kind, slot)?,
             WireEvent::Ask(job) => Event::Job(job.into()),
             WireEvent::Opened { job, attempt, .. } => Event::StreamOpened { job, attempt },
-            WireEvent::Change { job, attempt, sort, value, .. } => match sort {
+            WireEvent::Change { job, attempt, change_kind, fraction_done, .. } => match change_kind {
                 JOB_STARTED => Event::JobStarted { job, attempt },
-                JOB_PROGRESS => Event::JobProgress { job, attempt, done: value },
+                JOB_PROGRESS => Event::JobProgress { job, attempt, done: fraction_done },
                 _ => return Ok(None),
             },
             WireEvent::Response { job, attempt, code, job_answered, report, .. } => {
@@ -89,17 +91,17 @@
     }
 }
 
-/// All instances of this process, and the directories that their list events refer to.
+/// All instances of this process, and the directories to which their list events refer.
 #[derive(Default)]
 pub struct Host {
     instances: HashMap<String, Instance>,
     directories: Directories,
-    /// The actions of one event; empty in between, kept for its capacity.
+    /// Actions of the event that is being handled. Empty between events; kept to reuse its allocation.
     actions: Vec<Action>,
 }
 
 impl Host {
-    /// Handles an event, and appends the actions of its instance.
+    /// Handles an event and appends the resulting actions of its instance to `outbox`.
     pub fn handle(
         &mut self,
         now: f64,
@@ -115,7 +117,8 @@
                 if self.instances.remove(&dispatcher).is_none() {
                     return Err(BatchError::UnknownInstance(dispatcher));
                 }
-                // Its earlier actions in this batch must not reach a successor that is booted in it.
+                // Actions of the killed instance that are already in this batch's outbox must not be
+                // attributed to an instance that is booted under the same name later in the batch.
                 outbox.retain(|action| action.dispatcher() != dispatcher);
             }
             WireEvent::Boot { dispatcher, seed, settings } => {
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,13 +1,14 @@
-//! Hosts dispatchers of the decision module on the simulator's wire: batches of events on standard input, replies with
-//! actions on standard output.
+//! Runs dispatchers of the decision module behind the simulator's wire protocol: reads batches of events from
+//! standard input, and writes replies with actions to standard output.
 //!
-//! **Invariant.** Each batch gets one reply, with the same number. Nothing is decided here.
+//! **Invariant.** Each batch gets exactly one reply, which repeats the batch's number. The adapter makes no
+//! decisions.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `wire` | the lines, and what their events and actions are for the decision module |
-//! | `host` | the instances and their workers' ids |
-//! | `error` | what can be wrong with the input |
+//! | `wire` | the format of the lines, and the conversion of events and actions |
+//! | `host` | the dispatcher instances and the ids of their workers |
+//! | `error` | errors in the input and on the output stream |
 
 mod error;
 mod host;
@@ -19,20 +20,20 @@
 use std::process::ExitCode;
 use wire::{Batch, Reply, WireAction};
 
-/// Answers batches until the input ends.
+/// Answers batches until the input ends or a batch is invalid.
 fn serve(input: impl BufRead, mut output: impl Write) -> Result<(), AdapterError> {
     let mut host = Host::default();
     let mut outbox = Vec::new();
     for (index, line) in input.lines().enumerate() {
         let line = line.map_err(BatchError::from);
-        let answered = line.and_then(|line| answer_batch(&mut host, &mut outbox, &line, &mut output));
-        answered.map_err(|source| AdapterError { line: index + 1, source })?;
+        let result = line.and_then(|line| answer_batch(&mut host, &mut outbox, &line, &mut output));
+        result.map_err(|source| AdapterError { line: index + 1, source })?;
         outbox.clear();
     }
     Ok(())
 }
 
-/// Handles the events of a batch and writes its reply. `outbox` is empty before.
+/// Handles the events of one batch and writes its reply. `outbox` must be empty.
 fn answer_batch(
     host: &mut Host,
     outbox: &mut Vec<WireAction>,
--- a/crates/adapter/src/wire/action.rs
+++ b/crates/adapter/src/wire/action.rs
@@ -1,25 +1,26 @@
-//! The decision module's actions as the wire has them.
+//! Actions of the decision module in the wire format.
 
 use brackenledge_policy::Action;
 use serde::Serialize;
 
-/// The label of every timer: an instance has one.
+/// The label of every timer. An instance has only one timer, so the label carries no information.
 const TIMER_LABEL: &str = "sweep";
 
-/// An action.
+/// An action of one instance. Variants and serialized fields have the names of the wire format.
 #[derive(Serialize)]
 pub enum WireAction {
-    /// Start an attempt.
+    /// Start an attempt of a job on a worker.
     Place {
         dispatcher: String,
         #[serde(rename = "op-id")]
         job: u32,
+        /// In milliseconds; absent if the attempt may run until the client stops waiting.
         #[serde(rename = "cap", skip_serializing_if = "Option::is_none")]
         timeout: Option<f64>,
         #[serde(rename = "runner")]
         worker: String,
     },
-    /// Cancel an attempt.
+    /// Cancel an attempt of a job.
     Cancel {
         dispatcher: String,
         #[serde(rename = "op-id")]
@@ -27,58 +28,61 @@
         #[serde(rename = "leg")]
         attempt: usize,
     },
-    /// Reject a job.
+    /// Reject a job. A retry by the client is safe.
     TurnAway {
         dispatcher: String,
         #[serde(rename = "op-id")]
         job: u32,
+        /// How long the client should wait before a retry, in milliseconds; absent if it is not told.
         #[serde(rename = "retry-after", skip_serializing_if = "Option::is_none")]
         retry_after: Option<f64>,
     },
-    /// Fail a job.
+    /// Fail a job. It may have run.
     ReportFailure {
         dispatcher: String,
         #[serde(rename = "op-id")]
         job: u32,
     },
-    /// Set a timer.
+    /// Set the instance's timer.
     WakeMe {
         dispatcher: String,
         label: &'static str,
+        /// Time until the timer expires, in milliseconds.
         #[serde(rename = "sleep-for")]
         after: f64,
     },
-    /// Watch the endpoint list, or end the watch.
+    /// Start or end the watch of the endpoint list.
     StreamChanges { dispatcher: String, on: bool },
-    /// Poll the endpoint list.
+    /// Request the complete endpoint list once.
     GetList { dispatcher: String },
-    /// Check a worker's health.
+    /// Check a worker's health, which also requests its load report.
     Sample {
         dispatcher: String,
         #[serde(rename = "runner")]
         worker: String,
     },
-    /// Send a message to one scheduler, or to all.
+    /// Send a message to one or all of the other schedulers.
     Share {
         dispatcher: String,
+        /// Ordinal of the receiver; null for all other schedulers.
         #[serde(rename = "dest")]
         to: Option<u32>,
         #[serde(rename = "data")]
         text: String,
     },
-    /// Close idle connections to a worker.
+    /// Close the idle connections to a worker.
     CloseIdle {
         dispatcher: String,
         #[serde(rename = "runner")]
         worker: String,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Trace {
         dispatcher: String,
         #[serde(rename = "words")]
         text: String,
     },
-    /// The instance has panicked.
+    /// The dispatcher of the instance has panicked.
     Fatal {
         dispatcher: String,
         #[serde(rename = "words")]
@@ -87,7 +91,8 @@
 }
 
 impl WireAction {
-    /// An action of the instance `dispatcher`, at which the workers have these names by their ids.
+    /// Converts an action of the instance `dispatcher` to the wire format. `worker_names` are the names of
+    /// the instance's workers, by id.
     pub fn new(dispatcher: &str, worker_names: &[String], action: Action) -> WireAction {
         let dispatcher = dispatcher.to_owned();
         let name = |worker: usize| worker_names[worker].clone();
@@ -110,7 +115,7 @@
         }
     }
 
-    /// The instance that gives the action.
+    /// The instance from which the action comes.
     pub fn dispatcher(&self) -> &str {
         match self {
             WireAction::Place { dispatcher, .. }
--- a/crates/adapter/src/wire/event.rs
+++ b/crates/adapter/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! Events as the wire has them, and what they are for the decision module.
+//! Events in the wire format, and their conversion to the types of the decision module.
 
 use crate::error::BatchError;
 use brackenledge_policy::{
@@ -6,16 +6,16 @@
 };
 use serde::Deserialize;
 
-/// An event.
+/// An event. Variants and serialized fields have the names of the wire format.
 #[derive(Deserialize)]
 pub enum WireEvent {
-    /// The entries of a worker list, for list events to refer to by the slot.
+    /// Stores the entries of a worker list in a directory slot. List events refer to the slot.
     Directory {
         slot: usize,
         #[serde(rename = "members-list")]
         entries: Vec<DirectoryEntry>,
     },
-    /// An instance starts.
+    /// An instance starts. It replaces a running instance of the same name.
     Boot {
         dispatcher: String,
         #[serde(rename = "rng-seed")]
@@ -24,11 +24,11 @@
     },
     /// An instance is killed.
     Kill { dispatcher: String },
-    /// The worker list changed, or a request for it failed. All kinds but `Failed` need a slot.
+    /// The worker list changed, or a request for it failed. All kinds but `Failed` need a directory slot.
     BackendsChanged { dispatcher: String, kind: WireListKind, slot: Option<usize> },
     /// A job arrived.
     Ask(WireJob),
-    /// A streamed answer has begun.
+    /// A worker has begun to stream the answer of an attempt.
     Opened {
         dispatcher: String,
         #[serde(rename = "op-id")]
@@ -36,18 +36,21 @@
         #[serde(rename = "leg")]
         attempt: usize,
     },
-    /// A worker reports on a job; see [`JOB_STARTED`] and [`JOB_PROGRESS`].
+    /// A worker reports a change of a job's state: [`JOB_STARTED`] or [`JOB_PROGRESS`]. Other changes are
+    /// ignored.
     Change {
         dispatcher: String,
         #[serde(rename = "op-id")]
         job: u32,
         #[serde(rename = "leg")]
         attempt: usize,
-        sort: u32,
-        #[serde(default)]
-        value: f64,
+        #[serde(rename = "sort")]
+        change_kind: u32,
+        /// Fraction of the job that is done, from 0 to 1; only with [`JOB_PROGRESS`].
+        #[serde(default, rename = "value")]
+        fraction_done: f64,
     },
-    /// An attempt ended.
+    /// An attempt ended. [`outcome`] lists the codes.
     Response {
         dispatcher: String,
         #[serde(rename = "op-id")]
@@ -60,15 +63,15 @@
         #[serde(rename = "telemetry")]
         report: Option<WireLoadReport>,
     },
-    /// A job's client has disconnected: it stopped waiting.
+    /// A job's client has stopped waiting and disconnected.
     TimedOutClient {
         dispatcher: String,
         #[serde(rename = "op-id")]
         job: u32,
     },
-    /// A timer has expired.
+    /// The instance's timer has expired.
     Timer { dispatcher: String },
-    /// A health check ended.
+    /// A health check ended. [`outcome`] lists the codes.
     StatusBack {
         dispatcher: String,
         #[serde(rename = "runner")]
@@ -77,22 +80,24 @@
         #[serde(rename = "telemetry")]
         report: Option<WireLoadReport>,
     },
-    /// A message from another scheduler.
+    /// A message from another scheduler arrived.
     Inbox {
         dispatcher: String,
+        /// Ordinal of the sender.
         from: u32,
         #[serde(rename = "data")]
         text: String,
     },
 }
 
-/// [`WireEvent::Change`]: the job has started.
+/// Kind of [`WireEvent::Change`]: the job has started.
 pub const JOB_STARTED: u32 = 1;
-/// [`WireEvent::Change`]: the job has come as far as the value says.
+/// Kind of [`WireEvent::Change`]: the job has progressed to `fraction_done`.
 pub const JOB_PROGRESS: u32 = 2;
 
 impl WireEvent {
-    /// The instance that the event is for; a directory is for all.
+    /// The instance to which the event is addressed; `None` for a directory, which is shared by all
+    /// instances.
     pub fn dispatcher(&self) -> Option<&str> {
         match self {
             WireEvent::Directory { .. } => None,
@@ -135,7 +140,7 @@
     is_retry: bool,
 }
 
-/// The slots of a job, or the weight of a worker, that the wire leaves out.
+/// Default for a job's slots and for a worker's weight, if the wire omits them.
 fn one() -> f64 {
     1.0
 }
@@ -157,7 +162,7 @@
     }
 }
 
-/// The kinds of list event.
+/// What a list event brings: a change of the list, the full list, a cached copy, or a failed request.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
 pub enum WireListKind {
@@ -178,10 +183,10 @@
     }
 }
 
-/// An entry of a directory.
+/// A worker's entry in a directory.
 #[derive(Deserialize)]
 pub struct DirectoryEntry {
-    /// The worker's name.
+    /// Name of the worker. An instance takes entries with the same name for the same worker.
     #[serde(rename = "runner")]
     pub worker: String,
     #[serde(default, rename = "area")]
@@ -193,11 +198,12 @@
     readiness: WireReadiness,
     #[serde(default = "one")]
     weight: f64,
-    /// 0: long ago.
+    /// When the worker started, in simulated milliseconds; 0 if that was long ago.
     #[serde(default, rename = "launched")]
     started_at: f64,
 }
 
+/// The readiness of a worker, in the terms of the wire format.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "lowercase")]
 enum WireReadiness {
@@ -207,7 +213,7 @@
 }
 
 impl DirectoryEntry {
-    /// The entry for an instance at which the worker has this id.
+    /// The entry for an instance that knows the worker by this id.
     pub fn worker_entry(&self, id: WorkerId) -> WorkerEntry {
         WorkerEntry {
             id,
@@ -227,7 +233,7 @@
     }
 }
 
-/// A load report.
+/// A worker's load report. A figure that the worker did not report is absent or null.
 #[derive(Deserialize)]
 pub struct WireLoadReport {
     #[serde(rename = "concurrent")]
@@ -257,7 +263,7 @@
     }
 }
 
-/// The outcome that a code stands for.
+/// The outcome for a code of the wire format.
 pub fn outcome(code: u32) -> Result<Outcome, BatchError> {
     Ok(match code {
         200 => Outcome::Served,
--- a/crates/adapter/src/wire/mod.rs
+++ b/crates/adapter/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire: one JSON object a line in each direction, a batch of events in and a reply with actions out.
-//! Variants and serialized fields have the wire's names.
+//! The wire format of the simulator. Each direction has one JSON object per line: a batch of events in, and a
+//! reply with actions out. Variants and serialized fields have the names of the wire format.
 
 mod action;
 mod event;
@@ -8,25 +8,25 @@
 pub use event::{DirectoryEntry, JOB_PROGRESS, JOB_STARTED, WireEvent, WireListKind, outcome};
 use serde::{Deserialize, Serialize};
 
-/// One line in.
+/// A batch of events: one line of the input. Unknown fields are ignored.
 #[derive(Deserialize)]
 pub struct Batch {
-    /// The time of all its events, in milliseconds.
+    /// Simulated time of all events of the batch, in milliseconds.
     #[serde(rename = "sim-time")]
     pub sim_time: f64,
-    /// Its number, which the reply repeats.
+    /// Number of the batch, which the reply repeats.
     pub round: u64,
-    /// The events, in their order.
+    /// The events, in the order in which they are handled.
     #[serde(rename = "happened")]
     pub events: Vec<WireEvent>,
 }
 
-/// One line out.
+/// The reply to a batch: one line of the output.
 #[derive(Serialize)]
 pub struct Reply<'a> {
-    /// The batch's number.
+    /// Number of the batch.
     pub round: u64,
-    /// The actions of all instances, in the order in which they were given.
+    /// The actions of all instances, in the order in which they were issued.
     #[serde(rename = "outbox")]
     pub actions: &'a [WireAction],
 }
--- a/crates/adapter/tests/adapter.rs
+++ b/crates/adapter/tests/adapter.rs
@@ -1,4 +1,4 @@
-//! The adapter on hand-written batches.
+//! Runs the adapter on hand-written batches.
 #![allow(missing_docs)]
 
 use serde_json::{Value, json};
@@ -44,9 +44,9 @@
     json!({"Ask": {"dispatcher": dispatcher, "op-id": id, "category": 0, "left": 5000.0, "new-field": []}})
 }
 
-fn orders<'a>(reply: &'a Value, name: &str) -> Vec<&'a Value> {
+fn actions_named<'a>(reply: &'a Value, name: &str) -> Vec<&'a Value> {
     let outbox = reply["outbox"].as_array().expect("an outbox");
-    outbox.iter().filter_map(|order| order.get(name)).collect()
+    outbox.iter().filter_map(|action| action.get(name)).collect()
 }
 
 #[test]
@@ -56,16 +56,16 @@
 }
 
 #[test]
-fn a_request_is_placed_on_the_runner_named_by_the_list() {
+fn a_job_is_placed_on_the_worker_in_the_list() {
     let happened =
         json!([boot("d/0"), directory(0, "r.a"), list("d/0", "cached", 0), ask("d/0", 4_000_000_000)]);
     let reply = replies(&[json!({"sim-time": 1.0, "round": 1, "happened": happened})]);
-    let placed = orders(&reply[0], "Place");
+    let placed = actions_named(&reply[0], "Place");
     assert_eq!(placed, [&json!({"dispatcher": "d/0", "op-id": 4_000_000_000u32, "runner": "r.a"})]);
 }
 
 #[test]
-fn a_directory_number_means_the_list_that_took_it_last() {
+fn a_directory_slot_refers_to_the_directory_stored_last() {
     let happened = json!([
         boot("d/0"),
         directory(3, "r.a"),
@@ -77,12 +77,13 @@
         ask("d/1", 2)
     ]);
     let reply = replies(&[json!({"sim-time": 1.0, "round": 1, "happened": happened})]);
-    let placed: Vec<&str> = orders(&reply[0], "Place").iter().filter_map(|o| o["runner"].as_str()).collect();
+    let placed: Vec<&str> =
+        actions_named(&reply[0], "Place").iter().filter_map(|action| action["runner"].as_str()).collect();
     assert_eq!(placed, ["r.a", "r.b"]);
 }
 
 #[test]
-fn a_kill_and_boot_in_one_batch_leave_nothing_of_the_old_instance() {
+fn a_kill_and_boot_in_one_batch_discard_the_actions_of_the_killed_instance() {
     let first = json!([boot("d/0"), directory(0, "r.a"), list("d/0", "cached", 0)]);
     let kill = json!({"Kill": {"dispatcher": "d/0"}});
     let second = json!([ask("d/0", 1), kill, boot("d/0"), list("d/0", "cached", 0), ask("d/0", 2)]);
@@ -90,15 +91,17 @@
         json!({"sim-time": 1.0, "round": 1, "happened": first}),
         json!({"sim-time": 2.0, "round": 2, "happened": second}),
     ]);
-    let placed: Vec<u64> = orders(&reply[1], "Place").iter().filter_map(|o| o["op-id"].as_u64()).collect();
+    let placed: Vec<u64> =
+        actions_named(&reply[1], "Place").iter().filter_map(|action| action["op-id"].as_u64()).collect();
     assert_eq!(placed, [2]);
 }
 
 #[test]
-fn every_outcome_and_late_responses_are_taken() {
+fn all_outcomes_and_late_responses_are_accepted() {
     for code in [200, 502, 429, 408, 521, 520, 444, 409] {
         let response = json!({"Response": {"dispatcher": "d/0", "op-id": 1, "runner": "r.a", "code": code,
-            "leg": 0, "settled": code == 200, "took": 3.0, "telemetry": {"x0": -1, "load_share": null, "q": 1}}});
+            "leg": 0, "settled": code == 200, "took": 3.0,
+            "telemetry": {"x0": -1, "load_share": null, "q": 1}}});
         let happened = json!([
             boot("d/0"), directory(0, "r.a"), list("d/0", "full", 0), ask("d/0", 1), response, response,
             {"TimedOutClient": {"dispatcher": "d/0", "op-id": 99}},
@@ -108,12 +111,12 @@
             {"Inbox": {"dispatcher": "d/0", "from": 1, "data": "x"}}
         ]);
         let reply = replies(&[json!({"sim-time": 1.0, "round": 1, "happened": happened})]);
-        assert!(orders(&reply[0], "Fatal").is_empty());
+        assert!(actions_named(&reply[0], "Fatal").is_empty());
     }
 }
 
 #[test]
-fn malformed_input_ends_with_a_plain_message() {
+fn malformed_input_ends_the_adapter_with_an_error_message() {
     let head = "{\"sim-time\":1,\"round\":1,\"happened\":[";
     let batch = |events: &[Value]| json!({"sim-time": 1.0, "round": 1, "happened": events}).to_string();
     let without_slot = json!({"BackendsChanged": {"dispatcher": "d/0", "kind": "full", "stamp": 1}});
@@ -125,17 +128,17 @@
         (format!("{head}{{\"Timer\":{{\"dispatcher\":\"d/9\",\"label\":\"x\"}}}}]}}"), "d/9"),
         (
             batch(&[json!({"Kill": {"dispatcher": "d/9"}})]),
-            "line 1: event for \"d/9\", which was never booted\n",
+            "line 1: event for instance \"d/9\", which is not booted\n",
         ),
-        (batch(&[directory(16, "r.a")]), "line 1: directory slot 16\n"),
-        (batch(&[boot("d/0"), list("d/0", "full", 3)]), "line 1: no directory in slot 3\n"),
-        (batch(&[boot("d/0"), without_slot]), "line 1: BackendsChanged without a slot\n"),
+        (batch(&[directory(16, "r.a")]), "line 1: directory slot 16 out of range\n"),
+        (batch(&[boot("d/0"), list("d/0", "full", 3)]), "line 1: directory slot 3 is empty\n"),
+        (batch(&[boot("d/0"), without_slot]), "line 1: BackendsChanged event without a directory slot\n"),
         (batch(&[boot("d/0"), unknown_code]), "line 1: unknown outcome code 418\n"),
     ];
-    for (input, named) in cases {
+    for (input, expected) in cases {
         let output = run(&format!("{input}\n"));
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
         assert!(!output.status.success() && output.stdout.is_empty(), "{input}");
-        assert!(message.contains(named) && !message.contains("panicked"), "{message}");
+        assert!(message.contains(expected) && !message.contains("panicked"), "{message}");
     }
 }
