--- a/crates/fuzz/src/lib.rs
+++ b/crates/fuzz/src/lib.rs
@@ -1,10 +1,11 @@
-//! One target for each decoder of bytes that come from others: clients, workers, discovery, other schedulers,
-//! operators. Each takes any bytes and must neither panic nor buffer more than its bounds say; what it decodes goes on into
-//! the state machine that takes it, since a message that decodes well may still carry a number that overflows there.
+//! One fuzz target for each decoder of external input, which comes from clients, workers, discovery, other
+//! schedulers or operators. Each target accepts any bytes, and must neither panic nor buffer more than its
+//! limits allow. Decoded messages are passed on to the state machine that handles them, since a message that
+//! decodes may still carry a number that overflows there.
 //!
-//! `tests/decoders.rs` runs them at random in the ordinary tests; `cargo bolero test -p brackenledge-fuzz --test decoders
-//! leases` lets libFuzzer look for as long as one likes. An input that failed goes into the unit tests of the crate at
-//! fault.
+//! `tests/decoders.rs` runs the targets on random input as part of the test suite. To fuzz one of them with
+//! libFuzzer for any length of time: `cargo bolero test -p brackenledge-fuzz --test decoders leases`. An
+//! input that fails is added to the unit tests of the crate at fault.
 
 use brackenledge_discovery::{DiscoverySettings, EndpointDirectory, EndpointRecord};
 use brackenledge_failover::{Failover, Frame, Session};
@@ -19,19 +20,19 @@
 use brackenledge_protocol::{control, operations::Operations, worker};
 use std::path::Path;
 
-/// Splits an input into messages: each is led by a byte that says how long it is.
+/// Splits an input into length-prefixed messages. The prefix is one byte; the last message may be cut short.
 fn messages(mut input: &[u8]) -> Vec<&[u8]> {
-    let mut all = Vec::new();
+    let mut messages = Vec::new();
     while let Some((&length, rest)) = input.split_first() {
         let (message, rest) = rest.split_at(rest.len().min(usize::from(length)));
-        all.push(message);
+        messages.push(message);
         input = rest;
     }
-    all
+    messages
 }
 
-/// The same bytes with most numbers small, as those of one cluster are, so that more of them mean something together,
-/// and the others as large as a number can be.
+/// Converts bytes to encoded numbers, most of them small, as the numbers of one cluster are, so that more
+/// messages refer to the same members, views and jobs. The other numbers are the largest of their type.
 fn with_small_numbers(bytes: &[u8]) -> Vec<u8> {
     let number = |&byte: &u8| match byte {
         0xf8..=0xff => vec![0xff, 0xff, 0xff, 0xff, 0x0f],
@@ -45,7 +46,7 @@
     ProcessId { ordinal, incarnation: 1 }
 }
 
-/// Datagrams of membership, at a member of five.
+/// Datagrams of the membership protocol, handled by one of five members.
 pub fn membership(input: &[u8]) {
     let mut member = Membership::new(0.0, process(0), vec![1, 2, 3, 4], &SwimConfig::for_cluster_size(5), 1);
     for (at, bytes) in messages(input).into_iter().enumerate() {
@@ -59,10 +60,11 @@
     }
 }
 
-/// Kinds of messages of the leases.
+/// Number of message kinds of the lease protocol.
 const MESSAGE_KINDS: u8 = 17;
 
-/// Datagrams of the leases, at a voter of three and at one that has just started: each message as if its sender had sent it.
+/// Datagrams of the lease protocol, handled by a voter of a three-voter view and by a process that has just
+/// started. Each message is handled as if it came from its stated sender.
 pub fn leases(input: &[u8]) {
     let settings = brackenledge_leases::Settings {
         member_lease_duration: 2_500_000,
@@ -70,13 +72,14 @@
     };
     let view = View { epoch: Epoch { era: 1, number: 1 }, voters: (0..3).map(process).collect() };
     let in_view = LeaseManager::in_view(1_000_000, process(0), settings, view);
-    let started = LeaseManager::new(1_000_000, process(0), 1, settings);
-    for mut manager in [in_view, started] {
+    let starting = LeaseManager::new(1_000_000, process(0), 1, settings);
+    for mut manager in [in_view, starting] {
         manager.set_alive_members((0..5).map(process));
         let mut now = 1_000_000;
         for bytes in messages(input) {
             now += 100_000;
-            // As they are, and each prefix of them under each kind, with small numbers: what decodes is handled.
+            // The bytes unchanged, and all prefixes of the bytes with a valid message kind and small numbers.
+            // Inputs that decode are handled.
             let mut inputs = vec![bytes.to_vec()];
             if let Some((&kind, rest)) = bytes.split_first() {
                 let input: Vec<u8> =
@@ -98,20 +101,20 @@
     }
 }
 
-/// Fenced messages, at a fencing guard.
+/// Fenced messages, handled by a fencing guard.
 pub fn fenced_messages(input: &[u8]) {
     let mut guard = FencingGuard::default();
     for bytes in messages(input) {
         if let Ok((token, _)) = FencingToken::decode_message(bytes) {
             let accepted = guard.accept(token.role, token.term, token.holder);
             guard.observe(token.role, token.term, token.holder);
-            // A guard accepts what it has observed, unless it knew of a later term.
+            // A guard accepts a term that it has observed, unless it has already seen a later term.
             assert!(accepted.is_err() || guard.accept(token.role, token.term, token.holder).is_ok());
         }
     }
 }
 
-/// Frames between schedulers, through a session into the replica and job owner behind it.
+/// Frames between schedulers, handled by a session and by the replica and job owner behind it.
 pub fn failover(input: &[u8]) {
     let mut session = Session::new(process(1));
     let mut failover = Failover::new(process(0), 0, brackenledge_failover::Settings::default());
@@ -126,9 +129,10 @@
         {
             failover.handle_message(now, process(1), message);
         }
-        // What a frame carries, without the frame: random bytes are seldom one.
-        for text in [bytes.to_vec(), with_small_numbers(bytes)] {
-            if let Ok((message, _)) = postcard::take_from_bytes(&text) {
+        // Random bytes are rarely a valid frame, so the messages that frames carry are also decoded without
+        // one.
+        for payload in [bytes.to_vec(), with_small_numbers(bytes)] {
+            if let Ok((message, _)) = postcard::take_from_bytes(&payload) {
                 failover.handle_message(now, process(1), message);
             }
         }
@@ -142,7 +146,8 @@
     }
 }
 
-/// Texts between schedulers: gossip on endpoints, and the policy module's loads and aggregated loads.
+/// Text messages between schedulers: gossip about endpoints, and the loads and aggregated loads of the policy
+/// module.
 pub fn peer_messages(input: &[u8]) {
     let settings = DiscoverySettings {
         ordinal: 0,
@@ -178,7 +183,7 @@
     dispatcher.handle(0.0, list, &mut actions);
     for (at, bytes) in messages(input).into_iter().enumerate() {
         let Ok(text) = std::str::from_utf8(bytes) else { continue };
-        // Texts begin with a letter that says what they are; random bytes seldom do.
+        // The first character of a text states its kind, which random bytes rarely do.
         for text in [text.to_owned(), format!("d{text}"), format!("{{{text}}}")] {
             let now = 1.0 + at as f64;
             if !directory.handle_message(now, 1, &text) {
@@ -190,7 +195,7 @@
     }
 }
 
-/// A worker's responses, in pieces of any size.
+/// Responses of a worker, received in pieces of any size.
 pub fn responses(input: &[u8]) {
     let mut buffer = Buffer::default();
     let (mut head, mut buffered) = (None, 0);
@@ -214,10 +219,10 @@
             return;
         }
     }
-    assert!(buffered <= MAX_BODY_BYTES, "{buffered} bytes are buffered");
+    assert!(buffered <= MAX_BODY_BYTES, "{buffered} bytes buffered, at most {MAX_BODY_BYTES} allowed");
 }
 
-/// Headers that a request's head may hold.
+/// Headers that a request head may have.
 const REQUEST_HEADERS: [&str; 12] = [
     "X-Qos",
     "X-Trace-Id",
@@ -233,7 +238,7 @@
     "Expect",
 ];
 
-/// Heads of clients' requests: the input as it is, and as the values of headers of a job.
+/// Heads of clients' requests: the input unchanged, and the input as the values of a job's headers.
 pub fn request_heads(input: &[u8]) {
     let mut text = b"POST /buy/k1 HTTP/1.1\r\nX-Qos: buy\r\nX-Trace-Id: t1\r\n".to_vec();
     for line in messages(input) {
@@ -246,12 +251,12 @@
     request_head(&text);
 }
 
-/// A head is complete at its length and not before, and the job in it keeps to its bounds.
+/// Checks that a head is complete at its length and not before, and that the job in it respects the limits.
 fn request_head(input: &[u8]) {
     let Ok(Some(head)) = RequestHead::decode(input) else { return };
     assert!(head.length <= input.len().min(MAX_HEAD_BYTES));
-    let length_alone = RequestHead::decode(&input[..head.length]).ok().flatten().map(|head| head.length);
-    assert_eq!(length_alone, Some(head.length));
+    let exact_length = RequestHead::decode(&input[..head.length]).ok().flatten().map(|head| head.length);
+    assert_eq!(exact_length, Some(head.length));
     assert!(matches!(RequestHead::decode(&input[..head.length - 1]), Ok(None)));
     let _ = head.body();
     let class = ClassRule { name: "buy".to_owned(), requires_idempotency_key: input.len() % 2 == 1 };
@@ -263,7 +268,7 @@
     assert!(numbers.into_iter().flatten().all(|number| number.is_finite() && number >= 0.0));
 }
 
-/// A body behind a head that announced chunks: its content comes out the same however it is cut.
+/// Bodies in chunked encoding: the content must not depend on how the input is split.
 pub fn chunked_bodies(input: &[u8]) {
     let head = RequestHead::decode(b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n");
     let head = head.ok().flatten().expect("the head is complete");
@@ -279,8 +284,8 @@
         }
         Some(body.take_all(&mut buffer))
     };
-    let single: Vec<&[u8]> = input.chunks(1).collect();
-    if let (Some(whole), Some(pieces)) = (read(&[input]), read(&single)) {
+    let single_bytes: Vec<&[u8]> = input.chunks(1).collect();
+    if let (Some(whole), Some(pieces)) = (read(&[input]), read(&single_bytes)) {
         assert_eq!(whole, pieces);
     }
     assert!(
@@ -288,33 +293,34 @@
     );
 }
 
-/// Discovery's lists, in pieces of any size: the same is read from them however they are cut.
+/// Endpoint lists of discovery, received in pieces of any size: the result must not depend on how the input
+/// is split.
 pub fn endpoint_lists(input: &[u8]) {
     let read = |pieces: &mut dyn Iterator<Item = &[u8]>, framing: ListFraming| {
         let mut reader = ListReader::new(framing);
-        let mut seen = Vec::new();
+        let mut items = Vec::new();
         for piece in pieces {
-            let fed = reader.feed(piece, |piece| {
-                seen.push(match piece {
+            let result = reader.feed(piece, |item| {
+                items.push(match item {
                     ListItem::Entry(entry) => format!("{} {:?}", entry.name, entry.status),
                     ListItem::List { index, snapshot } => format!("{index} {snapshot}"),
                     ListItem::KeepAlive => "keep-alive".into(),
                 });
             });
-            if fed.is_err() {
+            if result.is_err() {
                 return None;
             }
         }
-        Some(seen)
+        Some(items)
     };
     for framing in [ListFraming::ListPerLine, ListFraming::SingleList] {
         let whole = read(&mut std::iter::once(input), framing);
-        let cut = read(&mut input.chunks(1), framing);
-        assert_eq!(whole, cut);
+        let split = read(&mut input.chunks(1), framing);
+        assert_eq!(whole, split);
     }
 }
 
-/// Calls at the admin endpoint, and the operators' file.
+/// Calls to the admin endpoint, and the operators' file.
 pub fn operator_input(input: &[u8]) {
     let _ = (control::parse_line(input), control::parse_last_line(input));
     if let Ok(text) = std::str::from_utf8(input) {
--- a/crates/test-support/src/lib.rs
+++ b/crates/test-support/src/lib.rs
@@ -1,4 +1,5 @@
-//! What the tests of several crates share. Nothing here opens a file, a socket or a process; that is `test-cluster`'s.
+//! Test helpers that several crates share. Nothing here opens a file or a socket or starts a process; the
+//! helpers that do are in `test-cluster`.
 
 pub mod hex;
 #[cfg(feature = "model-check")]
--- a/crates/test-support/src/model_check.rs
+++ b/crates/test-support/src/model_check.rs
@@ -1,11 +1,12 @@
-//! Runs of `stateright` models within bounds: random runs from seeds, and searches of the states near the start.
+//! Bounded checking of `stateright` models: seeded random simulation, and search of the states near the
+//! initial states.
 
 use stateright::{Checker, CheckerBuilder, Expectation, HasDiscoveries, Model, UniformChooser};
 use std::fmt::Debug;
 use std::hash::Hash;
 use std::ops::RangeInclusive;
 
-/// A model that can be run here.
+/// A model that the functions of this module can check. Implemented for every model that meets the bounds.
 pub trait CheckedModel:
     Model<State: Clone + Debug + Hash + PartialEq + Send + Sync, Action: Clone + Debug + PartialEq>
     + Clone
@@ -23,28 +24,31 @@
 {
 }
 
-/// The result of random runs.
+/// The result of a random simulation.
 #[derive(Debug)]
 pub struct Findings {
-    /// How many states were visited.
+    /// Number of states visited.
     pub state_count: usize,
-    /// The properties that must always hold and do not.
+    /// Names of the properties that must always hold and were violated.
     pub violated: Vec<&'static str>,
-    /// The properties that are to hold sometimes and did.
+    /// Names of the properties that must hold sometimes and were observed to hold.
     pub observed: Vec<&'static str>,
 }
 
-/// How many states a run visits: the environment variable `MODEL_STATES`, or `default`.
+/// Number of states that a check visits: the environment variable `MODEL_STATES`, or `default` if it is not
+/// set to a number.
 pub fn max_states(default: usize) -> usize {
     std::env::var("MODEL_STATES").ok().and_then(|text| text.parse().ok()).unwrap_or(default)
 }
 
-/// A checker that visits at least `max_states` states unless it stops earlier, at the first violation.
+/// A checker that visits at least `max_states` states, unless it stops earlier at the first violation or runs
+/// out of states.
 pub fn bounded_checker<M: CheckedModel>(model: &M, max_states: usize) -> CheckerBuilder<M> {
     model.clone().checker().target_state_count(max_states).finish_when(HasDiscoveries::AnyFailures)
 }
 
-/// Random runs to their ends, from this seed. The path to each violation is printed, its states by `describe`.
+/// Simulates random runs from this seed, each to its end. Prints the path to each violation, with its states
+/// formatted by `describe`.
 pub fn random_runs<M: CheckedModel>(
     model: &M,
     seed: u64,
@@ -66,7 +70,8 @@
     Findings { state_count: checker.state_count(), violated, observed }
 }
 
-/// Random runs from one seed after another, until one finds a violation: the properties that it violates.
+/// Simulates random runs from one seed after another until one finds a violation. Returns the names of the
+/// violated properties, or `None` if no seed finds a violation.
 pub fn first_violation<M: CheckedModel>(
     model: &M,
     seeds: RangeInclusive<u64>,
@@ -76,11 +81,11 @@
     seeds.map(|seed| random_runs(model, seed, max_states, &describe).violated).find(|names| !names.is_empty())
 }
 
-/// Checks that a search has found no violation.
+/// Asserts that a check has found no violation of a property that must always hold.
 ///
 /// # Panics
 ///
-/// If it has, with the path to it.
+/// Panics if a violation was found, and prints the path to it.
 pub fn assert_no_violation<M: CheckedModel>(model: &M, checker: &impl Checker<M>) {
     for name in property_names(model, Expectation::Always) {
         checker.assert_no_discovery(name);
