--- a/crates/zone-routing/src/lib.rs
+++ b/crates/zone-routing/src/lib.rs
@@ -15,12 +15,17 @@
 //! The crate has four parts. Each is driven by its caller and does no I/O, reads no clock and uses no
 //! randomness:
 //!
-//! | part | input | output |
-//! | --- | --- | --- |
-//! | [`ZoneLoadReport`] | [`SchedulerZoneReport`]: what one scheduler observed in one interval, about its own work and about the route to each zone | the sum over a zone's schedulers; it does not depend on the order of summation, and is no larger for 300 schedulers than for 10 |
-//! | [`Planner`] | [`ClusterLoad`]: the newest report of each zone | a new [`Plan`] with its [`ReplanReason`], if a change is needed. Run by the leader of the planning role, under its term |
-//! | [`PlanFollower`] | the plans that the leader publishes | the [`RoutingMode`] of one scheduler. A newer plan takes effect at the time that it states; if no plan arrives any more, routing returns to local in two bounded steps |
-//! | [`RouteCostModel`] | one zone's shares, and the jobs sent so far | a cost for each target zone that steers jobs towards the shares |
+//! - [`ZoneLoadReport`] is the sum of the [`SchedulerZoneReport`]s of a zone's schedulers. Each of those
+//!   states what one scheduler observed in one interval, about its own work and about the route to each zone.
+//!   The sum does not depend on the order of summation, and is no larger for 300 schedulers than for 10.
+//! - [`Planner`] takes the newest report of each zone, which [`ClusterLoad`] holds. It returns a new [`Plan`]
+//!   with its [`ReplanReason`] if the plan must be replaced. It is run by the leader of the planning role,
+//!   under its term.
+//! - [`PlanFollower`] takes the plans that the leader publishes, and determines the [`RoutingMode`] of one
+//!   scheduler. A newer plan takes effect at the time that it states. If no plan arrives any more, routing
+//!   returns to local in two bounded steps.
+//! - [`RouteCostModel`] takes one zone's shares and the jobs sent so far. It returns a cost for each target
+//!   zone such that sending jobs to the cheapest zone keeps the shares.
 //!
 //! **Out of scope.** This crate does not select workers: the policy crate does, for each job, by the rules of
 //! the job's class. It does not determine whether a zone is down or partitioned either: it plans with the
--- a/crates/zone-routing/src/plan.rs
+++ b/crates/zone-routing/src/plan.rs
@@ -111,8 +111,8 @@
         Plan::new(PlanVersion::default(), 0, &shares)
     }
 
-    /// A plan with these shares, by origin, then by target, rounded to units of 1/200. If a row sums to less than
-    /// 1, the rest of the origin's work is rejected.
+    /// A plan with these shares, by origin, then by target, rounded to units of 1/200. If a row sums to less
+    /// than 1, the rest of the origin's work is rejected.
     pub fn new(version: PlanVersion, active_from: Millis, shares: &[Vec<f64>]) -> Plan {
         let zone_count = shares.len().min(MAX_ZONES);
         let share_units =
--- a/crates/zone-routing/tests/plans.rs
+++ b/crates/zone-routing/tests/plans.rs
@@ -93,7 +93,7 @@
 #[test]
 fn work_leaves_a_flapping_zone_at_once_and_returns_once_it_is_stable() {
     let settings = Settings::of_regions(&REGIONS);
-    let changes = settings.max_changes_per_minute as usize;
+    let max_changes = settings.max_changes_per_minute as usize;
     let mut planner = Planner::new(0, settings, [1; 5].into(), None);
     let mut plans: Vec<(Millis, ReplanReason, f64)> = Vec::new();
     for now in (0..120_000).step_by(250) {
@@ -106,7 +106,7 @@
     }
     for (at, ..) in &plans {
         let minute = plans.iter().filter(|(then, ..)| (*at..at + 60_000).contains(then)).count();
-        assert!(minute <= changes, "{plans:?}");
+        assert!(minute <= max_changes, "{plans:?}");
     }
     // Work leaves the zone at the first replan, and returns once the zone has been stable for some seconds.
     assert!(
