--- a/crates/failover/src/client_job.rs
+++ b/crates/failover/src/client_job.rs
@@ -47,8 +47,9 @@
     pub(crate) clients: Vec<WaitingClient>,
     /// Whether the job is rejected rather than run without replicas.
     pub(crate) requires_replication: bool,
-    /// When the claim began; before that, when the job was submitted or taken over.
-    pub(crate) since: Micros,
+    /// The time from which `Settings::claim_timeout` counts: when the job was claimed. Before that, the time
+    /// from which `Settings::replication_delay` counts: when the job was submitted or taken over.
+    pub(crate) timer_started_at: Micros,
     /// Whether the driver has been told to run the job.
     pub(crate) started: bool,
     /// Whether the job was taken over from another owner.
@@ -79,7 +80,7 @@
             record,
             clients: Vec::new(),
             requires_replication,
-            since: now,
+            timer_started_at: now,
             started: false,
             taken_over: false,
             possibly_lost: false,
--- a/crates/failover/src/coordinator/takeover.rs
+++ b/crates/failover/src/coordinator/takeover.rs
@@ -162,7 +162,7 @@
         replica.grant_pending = false;
         replica.owner_reported = true;
         let record = replica.record.clone();
-        self.adopt(now, key, record);
+        self.become_owner(now, key, record);
         self.ensure_replicated(now, key);
     }
 }
--- a/crates/failover/src/job_key.rs
+++ b/crates/failover/src/job_key.rs
@@ -1,23 +1,24 @@
-//! The identity of a job, and the members that its key selects.
+//! The identity of a job, and the rank of the members for its key.
 
 use brackenledge_leases::{Members, ProcessId};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The identity of a job: class and tenant by their numbers in the settings, and the client's `Idempotency-Key`.
+/// The identity of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct JobKey {
-    /// The class's number.
+    /// The class's number in the settings.
     pub class: u16,
-    /// The tenant's number.
+    /// The tenant's number in the settings.
     pub tenant: u16,
     /// The client's `Idempotency-Key`.
     pub idempotency_key: Arc<str>,
 }
 
 impl JobKey {
-    /// The members by their rank for this key (rendezvous hashing; D. Thaler, C. Ravishankar, 1998).
+    /// The members by their rank for this key, the coordinator first (rendezvous hashing; D. Thaler and
+    /// C. Ravishankar, 1998).
     pub(crate) fn members_by_rank(&self, members: &Members) -> Vec<ProcessId> {
         let mut ranked: Vec<(u64, ProcessId)> =
             members.iter().map(|member| (self.rank(member.ordinal), member)).collect();
@@ -25,7 +26,7 @@
         ranked.into_iter().map(|(_, member)| member).collect()
     }
 
-    /// The member that decides who owns the job: the first by rank.
+    /// The member that decides which process owns the job: the first by rank. `None` if there are no members.
     pub(crate) fn coordinator(&self, members: &Members) -> Option<ProcessId> {
         members.iter().min_by_key(|member| (self.rank(member.ordinal), member.ordinal))
     }
--- a/crates/failover/src/job_owner/mod.rs
+++ b/crates/failover/src/job_owner/mod.rs
@@ -1,4 +1,4 @@
-//! The jobs of this process's clients: claimed at their coordinators, and run while this process owns them.
+//! The jobs of local clients. They are claimed at their coordinators, and run while this process owns them.
 
 mod attempts;
 mod completion;
@@ -13,9 +13,9 @@
 };
 use std::sync::Arc;
 
-/// What the coordinator grants with a claim.
+/// The coordinator's grant of a claim.
 pub(crate) struct Grant {
-    /// The claim.
+    /// The number of the claim.
     pub(crate) claim_id: u64,
     /// The epoch of the new ownership.
     pub(crate) ownership_epoch: OwnershipEpoch,
@@ -24,16 +24,17 @@
 }
 
 impl Failover {
-    /// A client submits a job, for the first time or again.
+    /// Submits a job for a client, for the first time or again.
     pub fn submit(&mut self, now: Micros, waiter: Waiter, key: JobKey, submission: JobSubmission) {
-        if !self.join_known_job(waiter, &key, submission.deadline) {
+        if !self.attach_to_known_job(waiter, &key, submission.deadline) {
             self.submit_new(now, waiter, key, submission);
         }
         self.deliver_loopback(now);
     }
 
-    /// The client waits for a job that is here, or is answered from the record of a finished one; whether there is any.
-    fn join_known_job(&mut self, waiter: Waiter, key: &JobKey, deadline: Micros) -> bool {
+    /// Attaches the client to the job if it is known here, or answers it from the record of the finished job.
+    /// Returns whether there was either.
+    fn attach_to_known_job(&mut self, waiter: Waiter, key: &JobKey, deadline: Micros) -> bool {
         if let Some(job) = self.jobs.get_mut(key) {
             self.counters.attached += 1;
             match job.record.outcome.clone().filter(|_| job.unconfirmed_outcome.is_none()) {
@@ -75,14 +76,14 @@
         self.start_job(now, &key);
     }
 
-    /// A client has disconnected. A job that may run any number of times ends with its last client, and so does one that
-    /// has not been sent to a worker; any other goes on.
+    /// Handles the disconnection of a client. If it was the job's last client, the job is stopped, unless
+    /// this process owns it, its class forbids some repeats and an attempt of it may have been sent.
     pub fn client_disconnected(&mut self, now: Micros, waiter: Waiter) {
-        let waits = |job: &ClientJob| job.clients.iter().any(|client| client.waiter == waiter);
-        let Some((key, job)) = self.jobs.iter_mut().find(|(_, job)| waits(job)) else { return };
+        let has_client = |job: &ClientJob| job.clients.iter().any(|client| client.waiter == waiter);
+        let Some((key, job)) = self.jobs.iter_mut().find(|(_, job)| has_client(job)) else { return };
         job.clients.retain(|client| client.waiter != waiter);
-        let goes_on = job.record.requires_ack && job.state == ClaimState::Owned && !job.is_unsent();
-        if !job.clients.is_empty() || goes_on {
+        let continues = job.record.requires_ack && job.state == ClaimState::Owned && !job.is_unsent();
+        if !job.clients.is_empty() || continues {
             return;
         }
         let (key, claim_id) = (key.clone(), job.record.claim_id);
@@ -95,8 +96,8 @@
         self.deliver_loopback(now);
     }
 
-    /// Graceful shutdown: transfers the jobs that have not been sent to a worker, and rejects them to their clients with a `Retry-After`.
-    /// Returns how many these were.
+    /// Transfers the jobs of which no attempt may have run, for a graceful shutdown, and rejects them to
+    /// their clients with a `Retry-After`. Returns the number of these jobs.
     pub fn transfer_all(&mut self, now: Micros) -> usize {
         let unsent = |job: &ClientJob| {
             job.state == ClaimState::Owned
@@ -119,7 +120,7 @@
         keys.len()
     }
 
-    /// Claims a job at its coordinator, or runs it unreplicated if it can't be claimed now.
+    /// Claims a job at its coordinator. If that is not possible now, runs it without replicas or rejects it.
     fn claim(&mut self, now: Micros, key: &JobKey) {
         let coordinator = key.coordinator(&self.members);
         let coordinator = coordinator.filter(|other| !self.lagging_peers.contains(&other.ordinal));
@@ -128,14 +129,14 @@
         let replicable = coordinator.is_some() && may_claim && self.has_capacity(job.record.size());
         if let Some(job) = self.jobs.get_mut(key).filter(|_| replicable) {
             job.state = ClaimState::Pending;
-            job.since = now;
+            job.timer_started_at = now;
             self.request_claim(now, key);
         } else {
-            self.run_unreplicated(key);
+            self.run_unreplicated_or_reject(key);
         }
     }
 
-    /// Asks the coordinator of a job to own it.
+    /// Requests ownership of a job from its coordinator.
     pub(crate) fn request_claim(&mut self, now: Micros, key: &JobKey) {
         let (term, coordinator) = (self.term, key.coordinator(&self.members));
         let (Some(job), Some(coordinator)) = (self.jobs.get(key), coordinator) else { return };
@@ -143,7 +144,7 @@
         self.send_with(coordinator, Message::ClaimRequest { term, record }, urgent);
     }
 
-    /// Has the driver run a job, unless it does already.
+    /// Tells the driver to run a job, unless it has been told so already.
     fn start_job(&mut self, now: Micros, key: &JobKey) {
         let Some(job) = self.jobs.get_mut(key).filter(|job| !job.started) else { return };
         job.started = true;
@@ -157,8 +158,9 @@
         self.commands.push_back(Command::StartJob { key, payload, deadline, prior_execution, taken_over });
     }
 
-    /// A job can't be replicated: one that requires it is rejected, any other runs without.
-    fn run_unreplicated(&mut self, key: &JobKey) {
+    /// Handles a job that cannot be replicated: runs it without replicas, or rejects it if it requires
+    /// replication or may already have run.
+    fn run_unreplicated_or_reject(&mut self, key: &JobKey) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         job.mark_pending_never_ran();
         let never_ran = job.record.attempts.iter().all(|attempt| attempt.execution == Execution::NeverRan);
@@ -171,8 +173,9 @@
         }
         job.state = ClaimState::Unreplicated;
         self.counters.unreplicated += 1;
-        let first = job.first_attempt;
-        let permitted: Vec<u32> = job.pending_acks.drain(..).map(|pending| pending.number - first).collect();
+        let first_attempt = job.first_attempt;
+        let permitted: Vec<u32> =
+            job.pending_acks.drain(..).map(|pending| pending.number - first_attempt).collect();
         if !std::mem::replace(&mut job.started, true) {
             self.commands.push_back(Command::StartJob {
                 key: key.clone(),
@@ -186,8 +189,9 @@
         self.commands.extend(permitted.into_iter().map(permit));
     }
 
-    /// As coordinator, we take a job over ourselves: it starts once its replicas have acknowledged that.
-    pub(crate) fn adopt(&mut self, now: Micros, key: &JobKey, record: JobRecord) {
+    /// Makes this process the owner of a job that it has taken over as coordinator. The job starts once its
+    /// replicas have acknowledged the takeover.
+    pub(crate) fn become_owner(&mut self, now: Micros, key: &JobKey, record: JobRecord) {
         let running = |job: &&mut ClientJob| job.started && !job.record.requires_ack;
         if let Some(job) = self.jobs.get_mut(key).filter(running) {
             job.state = ClaimState::Owned;
@@ -203,14 +207,15 @@
         self.jobs.insert(key.clone(), job);
     }
 
-    /// Another process owns a job of ours now. Its clients, if there are any, wait on.
+    /// Gives up ownership of a job that another process owns now. Its local clients continue to wait; if
+    /// there are none, the job is removed.
     pub(crate) fn lose_ownership(&mut self, key: &JobKey) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         self.counters.ownership_lost += 1;
         self.last_claim_id += 1;
         job.record.claim_id = self.last_claim_id;
         job.mark_pending_never_ran();
-        // When it is started again its attempts count on.
+        // If the job is started again, its attempts are numbered after those on record.
         job.first_attempt = job.record.next_attempt_number();
         job.state = ClaimState::Pending;
         job.acked_version = None;
@@ -224,10 +229,11 @@
         }
     }
 
-    /// Notes that a pending claim may have been granted without our knowing, and the job taken over by another since.
-    fn note_possible_loss(&mut self, now: Micros, key: &JobKey) {
+    /// Marks a pending job if its claim may have been granted and another process may have taken the job over
+    /// without this process having been told.
+    fn mark_if_possibly_lost(&mut self, now: Micros, key: &JobKey) {
         let pending = self.jobs.get(key).filter(|job| job.state == ClaimState::Pending);
-        let since = pending.map(|job| job.since);
+        let since = pending.map(|job| job.timer_started_at);
         if since.is_some_and(|since| self.lease_lapsed_since(now, since))
             && let Some(job) = self.jobs.get_mut(key)
         {
@@ -235,20 +241,20 @@
         }
     }
 
-    /// Has the driver drop what it runs of a job.
+    /// Tells the driver to stop running a job.
     fn revoke(&mut self, key: &JobKey) {
         if self.jobs.get_mut(key).is_some_and(|job| std::mem::take(&mut job.started)) {
             self.commands.push_back(Command::Revoke { key: key.clone() });
         }
     }
 
-    /// Answers all clients of a job, and removes it.
+    /// Answers all clients of a job and removes it.
     fn end_job(&mut self, key: &JobKey, outcome: JobOutcome) {
         self.answer_clients(key, &outcome, |_| true);
         self.jobs.remove(key);
     }
 
-    /// Answers those clients of a job whose deadlines match.
+    /// Answers the clients of a job whose deadlines match.
     fn answer_clients(&mut self, key: &JobKey, outcome: &JobOutcome, matches: impl Fn(Micros) -> bool) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         let (answered, waiting): (Vec<_>, Vec<_>) =
@@ -260,7 +266,8 @@
         }
     }
 
-    /// The job that a message of its coordinator is about.
+    /// Returns the job that a message refers to, if the sender is its coordinator and the claim is the
+    /// current one.
     fn claimed_job(&mut self, from: ProcessId, key: &JobKey, claim_id: u64) -> Option<&mut ClientJob> {
         let from_coordinator = key.coordinator(&self.members) == Some(from);
         let job = self.jobs.get_mut(key).filter(|job| job.record.claim_id == claim_id && from_coordinator);
--- a/crates/failover/src/job_owner/replies.rs
+++ b/crates/failover/src/job_owner/replies.rs
@@ -1,4 +1,4 @@
-//! The coordinator's replies to claims.
+//! Handles the coordinator's replies to claims, and its acknowledgements.
 
 use super::Grant;
 use crate::client_job::ClaimState;
@@ -8,8 +8,8 @@
     pub(crate) fn handle_claim_granted(&mut self, now: Micros, from: ProcessId, key: JobKey, grant: Grant) {
         let Grant { claim_id, ownership_epoch, version } = grant;
         let Some(job) = self.claimed_job(from, &key, claim_id) else {
-            // Its clients have disconnected, or have been answered meanwhile: it would have an owner that does not know
-            // of it.
+            // The clients have disconnected or have been answered in the meantime. Without this message the
+            // job would have an owner that does not know it.
             let term = self.term;
             self.send(from, Message::Discard { term, key, claim_id });
             return;
@@ -22,14 +22,14 @@
         job.record.ownership_epoch = ownership_epoch;
         job.acked_version = Some(version);
         if job.record.version > version {
-            // Attempts recorded since the claim was sent may not have reached the coordinator.
+            // The coordinator may not have received the attempts recorded since the claim was sent.
             self.resend_attempts(&key);
         }
         self.start_job(now, &key);
         if self.holds_lease(now) {
             self.release_acknowledged(&key);
         }
-        // A job that did not wait for the grant may have ended meanwhile.
+        // A job that did not wait for the grant may have ended in the meantime.
         if let Some(outcome) = self.jobs.get(&key).and_then(|job| job.record.outcome.clone()) {
             self.complete_owned(now, &key, outcome);
         }
@@ -57,7 +57,7 @@
         let job = self.claimed_job(from, &key, claim_id);
         let Some(job) = job.filter(|job| job.state == ClaimState::Pending) else { return };
         if job.started && !job.record.requires_ack {
-            // It runs here too, which its class allows.
+            // The job continues here too, which its class allows.
             job.state = ClaimState::Unreplicated;
             return;
         }
@@ -84,7 +84,7 @@
     pub(crate) fn handle_capacity_exceeded(&mut self, from: ProcessId, key: JobKey, claim_id: u64) {
         let job = self.claimed_job(from, &key, claim_id);
         if job.is_some_and(|job| job.state == ClaimState::Pending) {
-            self.run_unreplicated(&key);
+            self.run_unreplicated_or_reject(&key);
         }
     }
 
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The record of a job that we own is replicated up to a version.
+    /// Handles the coordinator's acknowledgement that an owned job's record is replicated up to a version.
     pub(crate) fn handle_coordinator_ack(
         &mut self,
         now: Micros,
@@ -116,14 +116,15 @@
         job.acked_version = job.acked_version.max(Some(version));
         if version >= job.record.version {
             if let Some(outcome) = job.record.outcome.clone() {
-                // Replicated under our ownership: no other outcome is possible now. We hold a replica too, so that a
-                // finished job survives the loss of as many processes as it did before.
+                // The outcome is replicated under this ownership, so no other outcome is possible now. This
+                // process keeps a replica too, so that the record of the finished job survives the loss of as
+                // many processes as before.
                 let record = job.record.clone();
                 self.store_replica(now, key, record);
                 self.end_job(key, outcome);
                 return;
             }
-            // A job that we have taken over starts once that is replicated.
+            // A job that was taken over starts once the takeover is replicated.
             self.start_job(now, key);
         }
         if self.holds_lease(now) {
--- a/crates/failover/src/job_owner/timeouts.rs
+++ b/crates/failover/src/job_owner/timeouts.rs
@@ -4,34 +4,35 @@
 use crate::{Command, Failover, JobKey, JobOutcome, Micros};
 
 impl Failover {
-    pub(crate) fn handle_claim_timeouts(&mut self, now: Micros) {
+    pub(crate) fn handle_job_timeouts(&mut self, now: Micros) {
         let keys: Vec<JobKey> = self.jobs.keys().cloned().collect();
         for key in keys {
-            self.note_possible_loss(now, &key);
+            self.mark_if_possibly_lost(now, &key);
             self.expire_attempts(now, &key);
             self.expire_clients(now, &key);
             self.expire_claim(now, &key);
         }
     }
 
-    /// Attempts that waited too long for acknowledgement never leave.
+    /// Drops attempts whose records were not acknowledged in time; they are not sent.
     fn expire_attempts(&mut self, now: Micros, key: &JobKey) {
         let margin = self.settings.deadline_margin;
         let Some(job) = self.jobs.get_mut(key) else { return };
-        let first = job.first_attempt;
+        let first_attempt = job.first_attempt;
         let (expired, pending): (Vec<PendingAck>, Vec<PendingAck>) =
             job.pending_acks.drain(..).partition(|pending| now + margin >= pending.deadline);
         job.pending_acks = pending;
         for PendingAck { number, .. } in expired {
-            let attempt = number - first;
+            let attempt = number - first_attempt;
             self.attempt_never_ran(now, key, attempt);
             self.commands.push_back(Command::AttemptExpired { key: key.clone(), attempt });
         }
     }
 
-    /// Answers clients whose own deadlines are over. One may wait for less long than the job lasts here: its deadline was
-    /// passed on by other schedulers. Where we run the job its own end comes first; where another process owns it,
-    /// nothing is promised.
+    /// Answers clients whose own deadlines have passed. A client's deadline may be before the job's, because
+    /// the job's deadline may have been passed on by other schedulers. If the job runs here, its clients are
+    /// answered `deadline_margin` later, so that its own end comes first; if another process owns it, the
+    /// answer is `Failed`, since it may have run.
     fn expire_clients(&mut self, now: Micros, key: &JobKey) {
         let margin = self.settings.deadline_margin;
         let Some(job) = self.jobs.get(key) else { return };
@@ -43,22 +44,25 @@
         self.answer_clients(key, &outcome, expired);
     }
 
-    /// Ends claims that take too long, and jobs whose deadlines are over.
+    /// Claims a job whose replication delay is over, and ends claims that have timed out and jobs whose
+    /// deadlines have passed.
     fn expire_claim(&mut self, now: Micros, key: &JobKey) {
         let claim_timeout = self.settings.claim_timeout;
         let Some(job) = self.jobs.get(key) else { return };
         let past_deadline = now + self.settings.deadline_margin >= job.record.deadline;
-        let timed_out = now >= job.since + claim_timeout;
+        let timed_out = now >= job.timer_started_at + claim_timeout;
         match job.state {
-            ClaimState::ReplicationDeferred if now >= job.since + self.settings.replication_delay => {
+            ClaimState::ReplicationDeferred
+                if now >= job.timer_started_at + self.settings.replication_delay =>
+            {
                 self.claim(now, key);
             }
             ClaimState::Pending if job.record.requires_ack && (timed_out || past_deadline) => {
                 let claim_id = job.record.claim_id;
                 self.send_discard(key, claim_id, true);
-                self.run_unreplicated(key);
+                self.run_unreplicated_or_reject(key);
             }
-            // It has ended, and its coordinator never replied.
+            // The job has ended, and the coordinator has not replied to the claim.
             ClaimState::Pending if job.record.outcome.is_some() && timed_out => {
                 self.jobs.remove(key);
             }
--- a/crates/failover/src/job_record.rs
+++ b/crates/failover/src/job_record.rs
@@ -8,92 +8,98 @@
 #[cfg(test)]
 mod tests;
 
-/// How a job ended.
+/// The outcome of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum JobOutcome {
-    /// With this result.
+    /// The job ran and has this result.
     Served(Arc<[u8]>),
-    /// It did not run and may be submitted again, after so many milliseconds where that is known.
+    /// The job did not run and may be submitted again; the value is the `Retry-After` in milliseconds, if
+    /// there is one.
     Rejected(Option<u32>),
-    /// It may have run, and there is no result.
+    /// The job may have run, but there is no result.
     Failed,
 }
 
-/// The order of ownerships of one job: the later one prevails.
+/// Orders the ownerships of one job; the greatest epoch is in force.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct OwnershipEpoch {
-    /// The term of the member list under which the coordinator granted it.
+    /// The term of the member list under which the coordinator granted the ownership.
     pub member_list_term: Term,
-    /// The coordinator's count of its grants under that list.
+    /// How many ownerships the coordinator had granted under that list, this one included.
     pub grant_count: u32,
 }
 
-/// Whether an attempt may have run at its worker.
+/// Whether a worker may have executed an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Execution {
-    /// It may have run, or may still run.
+    /// The attempt may have run, or may still run.
     MayHaveRun,
-    /// It did not run, and will not.
+    /// The attempt did not run and will not run.
     NeverRan,
 }
 
-/// An attempt of a job, recorded before it leaves.
+/// An attempt of a job, recorded before it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptRecord {
-    /// Counts over all owners of the job.
+    /// Counts the attempts of all owners of the job, from 0.
     pub number: u32,
     /// The worker's name.
     pub worker: Arc<str>,
-    /// Whether it may have run.
+    /// Whether the attempt may have run.
     pub execution: Execution,
-    /// When it was recorded, by the local clock. The attempt left later than that, unless `indirect`.
+    /// When the attempt was recorded, by the local clock. It was sent later than that, unless `from_snapshot`
+    /// is set.
     pub recorded_at: Micros,
-    /// It came in another process's snapshot, and is older than `recorded_at` by the time that the snapshot travelled.
-    pub indirect: bool,
+    /// Whether the attempt comes from another process's snapshot. If so, it may have been sent before
+    /// `recorded_at`, by at most the time that the snapshot was in transit.
+    pub from_snapshot: bool,
 }
 
-/// The attempt of an earlier owner that may have run.
+/// An attempt of an earlier owner that may have run.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PriorExecution {
     /// The worker's name.
     pub worker: Arc<str>,
-    /// The attempt left at most so long ago.
+    /// Upper bound of the time since the attempt was sent.
     pub max_age: Micros,
 }
 
-/// A job, as its owner and its replicas record it.
+/// The record of a job, held by its owner and its replicas.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct JobRecord {
     /// The process that may start attempts.
     pub owner: ProcessId,
-    /// The owner's number for its claim: it distinguishes this ownership from an earlier one of the same process.
+    /// The owner's number for its claim, which distinguishes this ownership from earlier ones of the same
+    /// process.
     pub claim_id: u64,
-    /// When the coordinator granted it.
+    /// The epoch of the ownership that the coordinator granted; the default value before the first grant.
     pub ownership_epoch: OwnershipEpoch,
-    /// Counts the owner's changes.
+    /// Counts the changes of the record.
     pub version: u32,
     /// What to run, encoded by the driver; empty once the job has ended.
     pub payload: Arc<[u8]>,
-    /// Its class forbids some repeats: no attempt leaves before replicas have acknowledged its record.
+    /// Whether the class forbids some repeats. If so, no attempt is sent before replicas have acknowledged
+    /// its record.
     pub requires_ack: bool,
-    /// Its deadline by the local clock.
+    /// The job's deadline, by the local clock.
     pub deadline: Micros,
-    /// All attempts.
+    /// The attempts of all owners.
     pub attempts: Vec<AttemptRecord>,
-    /// How it ended, once it has.
+    /// The outcome; `None` until the job has ended.
     pub outcome: Option<JobOutcome>,
 }
 
-/// The longest time that a snapshot travels. A process that does not read for longer is removed from the member list
-/// (membership takes 3 s, a member lease 2.5 s), and then the snapshot is of an older term and dropped.
+/// The longest time that a snapshot is in transit. A process that does not read for longer is removed from
+/// the member list (membership takes 3 s, a member lease 2.5 s); the snapshot is then of an older term and
+/// dropped.
 pub(crate) const MAX_TRANSIT_TIME: Micros = 6_000_000;
 
-/// What a record takes in memory beside its payload and result, and what each attempt adds, roughly.
+/// Approximate memory, in bytes, of a record without its payload, result and attempts, and of each attempt.
 const RECORD_OVERHEAD: usize = 256;
 const ATTEMPT_OVERHEAD: usize = 64;
 
 impl JobRecord {
-    /// The first attempt that may have run, and the longest time that it may be ago.
+    /// Returns the first attempt that may have run, with an upper bound of the time since it was sent.
     pub fn prior_execution(&self, now: Micros) -> Option<PriorExecution> {
         let first = self
             .attempts
@@ -103,17 +109,17 @@
         Some(PriorExecution { worker: Arc::clone(&first.worker), max_age: first.max_age(now) })
     }
 
-    /// Whether an attempt may have run.
+    /// Whether any attempt may have run.
     pub fn may_have_run(&self) -> bool {
         self.attempts.iter().any(|attempt| attempt.execution == Execution::MayHaveRun)
     }
 
-    /// The number of the next attempt.
+    /// The number for the next attempt.
     pub(crate) fn next_attempt_number(&self) -> u32 {
         self.attempts.iter().map(|attempt| attempt.number + 1).max().unwrap_or(0)
     }
 
-    /// Records an attempt, or what has become known of it since.
+    /// Records an attempt, or a change of its execution state.
     pub(crate) fn record_attempt(
         &mut self,
         now: Micros,
@@ -126,10 +132,10 @@
             worker: Arc::clone(worker),
             execution,
             recorded_at: now,
-            indirect: false,
+            from_snapshot: false,
         };
         match self.attempts.iter_mut().find(|attempt| attempt.number == number) {
-            // A repeated message does not make the attempt younger.
+            // A repeated message must not reduce the attempt's age.
             Some(known) if execution == Execution::NeverRan || known.execution == Execution::MayHaveRun => {
                 known.execution = execution;
             }
@@ -138,19 +144,20 @@
         }
     }
 
-    /// Whether it supersedes another record of the same job.
+    /// Whether this record supersedes another record of the same job.
     pub(crate) fn is_newer_than(&self, other: &JobRecord) -> bool {
         let order = |record: &JobRecord| (record.ownership_epoch, record.version, record.outcome.is_some());
         order(self) > order(other)
     }
 
-    /// Bytes that it takes in memory, roughly.
+    /// Approximate memory of the record, in bytes.
     pub(crate) fn size(&self) -> usize {
         let result = self.outcome.as_ref().map_or(0, JobOutcome::result_len);
         RECORD_OVERHEAD + self.payload.len() + result + self.attempts.len() * ATTEMPT_OVERHEAD
     }
 
-    /// The record as it travels: clocks differ, so times become durations.
+    /// Returns the record in the form that is sent to other processes. Their clocks differ, so times are
+    /// converted to durations.
     pub(crate) fn snapshot(&self, now: Micros, key: &JobKey) -> RecordSnapshot {
         let attempts = self.attempts.iter().map(|attempt| AttemptSnapshot {
             number: attempt.number,
@@ -174,15 +181,15 @@
 }
 
 impl AttemptRecord {
-    /// The attempt left at most so long ago.
+    /// Upper bound of the time since the attempt was sent.
     fn max_age(&self, now: Micros) -> Micros {
-        let transit = if self.indirect { MAX_TRANSIT_TIME } else { 0 };
+        let transit = if self.from_snapshot { MAX_TRANSIT_TIME } else { 0 };
         now.saturating_sub(self.recorded_at) + transit
     }
 }
 
 impl JobOutcome {
-    /// Bytes of the result, if there is one.
+    /// Length of the result in bytes; 0 if there is none.
     pub(crate) fn result_len(&self) -> usize {
         match self {
             JobOutcome::Served(result) => result.len(),
@@ -199,50 +206,50 @@
 /// An attempt in a [`RecordSnapshot`].
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct AttemptSnapshot {
-    /// Counts over all owners of the job.
+    /// Counts the attempts of all owners of the job, from 0.
     pub number: u32,
     /// The worker's name.
     pub worker: Arc<str>,
-    /// Whether it may have run.
+    /// Whether the attempt may have run.
     pub execution: Execution,
-    /// It left at most so long before the snapshot was made.
+    /// Upper bound of the time between the sending of the attempt and the creation of the snapshot.
     pub age: Micros,
 }
 
-/// A [`JobRecord`] as it travels between processes. The order of its fields is the wire format.
+/// A [`JobRecord`] as it is sent between processes. The order of the fields is the wire format.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordSnapshot {
     /// The job.
     pub key: JobKey,
-    /// The process that may start attempts.
+    /// The process that may start attempts; in a claim, the process that requests that.
     pub owner: ProcessId,
     /// The owner's number for its claim.
     pub claim_id: u64,
-    /// When the coordinator granted it.
+    /// The epoch of the ownership that the coordinator granted; the default value before the first grant.
     pub ownership_epoch: OwnershipEpoch,
-    /// Counts the owner's changes.
+    /// Counts the changes of the record.
     pub version: u32,
-    /// What to run.
+    /// What to run, encoded by the driver; empty once the job has ended.
     pub payload: Arc<[u8]>,
-    /// No attempt leaves before replicas have acknowledged its record.
+    /// Whether no attempt is sent before replicas have acknowledged its record.
     pub requires_ack: bool,
-    /// Time to its deadline when the snapshot was made.
+    /// Time until the job's deadline when the snapshot was made.
     pub time_left: Micros,
-    /// All attempts.
+    /// The attempts of all owners.
     pub attempts: Vec<AttemptSnapshot>,
-    /// How it ended, once it has.
+    /// The outcome; `None` until the job has ended.
     pub outcome: Option<JobOutcome>,
 }
 
 impl RecordSnapshot {
-    /// The record as its receiver holds it.
+    /// Returns the key and the record as the receiver holds it, with times by the receiver's clock.
     pub(crate) fn into_record(self, now: Micros) -> (JobKey, JobRecord) {
         let attempts = self.attempts.into_iter().map(|attempt| AttemptRecord {
             number: attempt.number,
             worker: attempt.worker,
             execution: attempt.execution,
             recorded_at: now.saturating_sub(attempt.age),
-            indirect: true,
+            from_snapshot: true,
         });
         let record = JobRecord {
             owner: self.owner,
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -227,7 +227,7 @@
             return;
         }
         self.last_scan = now;
-        self.handle_claim_timeouts(now);
+        self.handle_job_timeouts(now);
         self.handle_replica_timeouts(now);
         self.deliver_loopback(now);
     }
--- a/crates/failover/src/member_list.rs
+++ b/crates/failover/src/member_list.rs
@@ -76,7 +76,7 @@
         self.lease_expiry = expiry;
         self.latest_lease_expiry = self.latest_lease_expiry.max(expiry);
         if self.holds_lease(now) {
-            self.resume_under_lease();
+            self.release_all_acknowledged();
         }
         self.deliver_loopback(now);
     }
--- a/crates/failover/src/session.rs
+++ b/crates/failover/src/session.rs
@@ -1,7 +1,8 @@
 //! A session delivers messages between two processes once and in order, over any number of connections.
 //!
-//! Messages are numbered. What the peer has not acknowledged is kept, and sent again on the next connection; a session
-//! ends only with one of the two processes. No I/O and no clock.
+//! Messages are numbered. Those that the peer has not acknowledged are kept and sent again on the next
+//! connection. A session ends only when one of the two processes ends. This module does no I/O and reads no
+//! clock.
 
 use crate::frame::Frame;
 use crate::message::Message;
@@ -12,31 +13,32 @@
 #[cfg(test)]
 mod tests;
 
-/// Messages received until they are acknowledged in a frame of its own; any frame sent before acknowledges them too.
+/// Number of messages after which they are acknowledged in a separate [`Frame::Ack`]. Any data frame sent
+/// earlier acknowledges them too.
 const MAX_UNACKED_MESSAGES: u64 = 32;
-/// What a message takes in memory beside payload and result, roughly.
+/// Approximate memory, in bytes, of a message without its payload and result.
 const MESSAGE_OVERHEAD: usize = 128;
 
-/// A frame that violates the protocol: its connection is to be closed.
+/// A protocol violation by a received frame; the connection is to be closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SessionError {
-    /// A `Hello` on a connection whose peer is known.
-    #[error("a second Hello on a connection")]
+    /// A `Hello` on a connection whose peer has already sent one.
+    #[error("second Hello frame on a connection")]
     UnexpectedHello,
     /// An acknowledgement of a message that was never sent.
-    #[error("message {received} is acknowledged, and {next} is the next to be sent")]
+    #[error("peer acknowledged message {received}, which was never sent; the next message is {next}")]
     AckBeyondSent {
-        /// The number acknowledged.
+        /// The acknowledged number.
         received: u64,
-        /// The number of the next message.
+        /// The number of the next message to be enqueued.
         next: u64,
     },
-    /// A message that does not follow the last one.
-    #[error("message {number} instead of {expected}")]
+    /// A message whose number does not follow that of the last one.
+    #[error("message {number} received out of order, expected message {expected}")]
     OutOfOrder {
-        /// The number received.
+        /// The received number.
         number: u64,
-        /// The number that should have come.
+        /// The expected number.
         expected: u64,
     },
 }
@@ -54,23 +56,23 @@
     peer: ProcessId,
     /// The number of the next message to be enqueued; the first is 1.
     next_number: u64,
-    /// Enqueued and not acknowledged, by number.
+    /// Messages enqueued but not acknowledged by the peer, by number.
     unacknowledged: VecDeque<OutgoingMessage>,
     unacknowledged_bytes: usize,
-    /// The first of these not yet given to the current connection.
+    /// The number of the first message not yet sent on the current connection.
     next_to_send: u64,
-    /// Messages up to this number are sent without waiting for a batch.
+    /// Messages up to this number may be sent; later ones wait for a batch.
     last_urgent: u64,
-    /// The number of the peer's last message received.
+    /// The number of the last message received from the peer.
     received: u64,
-    /// The last number acknowledged to the peer.
+    /// The number of the last message acknowledged to the peer.
     acknowledged: u64,
-    /// A connection is up, and the peer has sent `Resume` on it.
+    /// Whether there is a connection on which the peer has sent `Resume`.
     connected: bool,
 }
 
 impl Session {
-    /// A session with a process that has received nothing from us yet.
+    /// Creates a session with a process to which nothing has been sent yet.
     pub fn new(peer: ProcessId) -> Session {
         Session {
             peer,
@@ -90,20 +92,20 @@
         self.peer
     }
 
-    /// Bytes of the messages that the peer has not acknowledged, roughly.
+    /// Approximate memory, in bytes, of the messages that the peer has not acknowledged.
     pub fn unacknowledged_bytes(&self) -> usize {
         self.unacknowledged_bytes
     }
 
-    /// Whether all messages have been given to the connection, if there is one.
+    /// Whether all messages have been sent on the connection; `true` without a connection.
     pub fn is_flushed(&self) -> bool {
         !self.connected || self.next_to_send == self.next_number
     }
 
-    /// Enqueues a message. One that is not urgent is batched: it is sent with the next urgent one, or after
-    /// [`Session::release_batch`].
+    /// Enqueues a message. If it is not urgent it is batched: it is sent with the next urgent message, or
+    /// after [`Session::release_batch`].
     pub fn enqueue(&mut self, message: Message, urgent: bool) {
-        // Its size in memory; it is encoded when it is sent.
+        // This is the size in memory: the message is encoded only when it is sent.
         let size = message_size(&message);
         self.unacknowledged.push_back(OutgoingMessage { number: self.next_number, message, size });
         self.unacknowledged_bytes += size;
@@ -113,24 +115,24 @@
         self.next_number += 1;
     }
 
-    /// Batched messages may be sent.
+    /// Allows all batched messages to be sent.
     pub fn release_batch(&mut self) {
         self.last_urgent = self.next_number - 1;
     }
 
-    /// A connection is up; the frame that starts the session on it.
+    /// Prepares the session for a new connection; returns the frame to send on it after `Hello`.
     pub fn on_connected(&mut self) -> Frame {
         self.connected = false;
         self.acknowledged = self.received;
         Frame::Resume { received: self.received }
     }
 
-    /// The connection is lost.
+    /// Stops sending until there is a new connection.
     pub fn on_disconnected(&mut self) {
         self.connected = false;
     }
 
-    /// Handles a frame; returns the message that it carries.
+    /// Handles a frame and returns the message that it contains, if it is a [`Frame::Data`].
     pub fn handle_frame(&mut self, frame: Frame) -> Result<Option<Message>, SessionError> {
         match frame {
             Frame::Hello { .. } => Err(SessionError::UnexpectedHello),
@@ -143,7 +145,7 @@
             Frame::Ack { received } => self.handle_ack(received).map(|()| None),
             Frame::Data { number, received, message } => {
                 self.handle_ack(received)?;
-                // Numbers are consecutive on a connection, and start after the one in our `Resume`.
+                // On a connection, numbers are consecutive and start after the number in the local `Resume`.
                 let expected = self.received + 1;
                 if number != expected {
                     return Err(SessionError::OutOfOrder { number, expected });
@@ -165,14 +167,14 @@
         Ok(())
     }
 
-    /// The next frame for the connection, if there is one to send.
+    /// Returns the next frame to send on the connection, or `None` if there is none.
     pub fn poll_frame(&mut self) -> Option<Frame> {
         if !self.connected {
             return None;
         }
         let first = self.unacknowledged.front().map_or(self.next_number, |first| first.number);
-        let at = self.next_to_send.max(first) - first;
-        let next = self.unacknowledged.get(at as usize).filter(|next| next.number <= self.last_urgent);
+        let index = self.next_to_send.max(first) - first;
+        let next = self.unacknowledged.get(index as usize).filter(|next| next.number <= self.last_urgent);
         if let Some(OutgoingMessage { number, message, .. }) = next {
             self.next_to_send = number + 1;
             self.acknowledged = self.received;
--- a/crates/failover/src/settings.rs
+++ b/crates/failover/src/settings.rs
@@ -5,21 +5,23 @@
 /// Time limits and capacities of one process. All times are in microseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
-    /// Replicas of each record beside its owner's.
+    /// Number of replicas of each record, not counting the owner's copy.
     pub replication_factor: usize,
-    /// Most records held: those of our clients' jobs and those replicated for others.
+    /// Maximum number of records: those of local clients' jobs and those replicated for other processes.
     pub max_records: usize,
-    /// Most bytes of replicated records.
+    /// Maximum size of all replicated records, in bytes.
     pub max_bytes: usize,
     /// How long a record outlives the job's deadline or its end, whichever is later.
     pub retention: Micros,
     /// How long a job waits for its claim to be granted.
     pub claim_timeout: Micros,
-    /// A replica that has not acknowledged by then gets another beside it: many round trips.
+    /// If replicas have not acknowledged a record within this time, which is many round trips, another
+    /// replica is added.
     pub replica_timeout: Micros,
-    /// Age at which a job that may run any number of times is replicated: most have ended by then, and cost nothing.
+    /// The age at which a job that may run any number of times is replicated. Most such jobs have ended by
+    /// then and need no messages.
     pub replication_delay: Micros,
-    /// Jobs are ended so long before their deadline, so that the answer still reaches the client.
+    /// How long before its deadline a job is ended, so that the answer reaches the client in time.
     pub deadline_margin: Micros,
 }
 
--- a/crates/failover/tests/model/cluster.rs
+++ b/crates/failover/tests/model/cluster.rs
@@ -1,4 +1,5 @@
-//! The cluster as a model: processes with their records, what drives each, the network between them, and one client.
+//! The model's state: the processes with their records, the driver of each, the network between them, and one
+//! client with one job.
 
 use brackenledge_failover::{
     Command, Failover, JobKey, JobOutcome, JobSubmission, Members, Message, ProcessId, Term, Waiter,
@@ -11,33 +12,35 @@
 
 #[derive(Clone, Debug)]
 pub struct Cluster {
-    pub nodes: u16,
+    pub node_count: u16,
     pub replication_factor: usize,
-    /// Nodes that may crash, be excluded while they live, and come back.
+    /// How many nodes may crash.
     pub crashes: u8,
+    /// How many nodes may be excluded from the member list while they run.
     pub exclusions: u8,
-    pub returns: u8,
+    /// How many excluded nodes may become members again.
+    pub rejoins: u8,
     /// How often the client may submit the job again.
     pub resubmissions: u8,
-    /// Attempts that reach no worker: they never ran.
+    /// How many attempts may reach no worker, and so never run.
     pub unavailable_workers: u8,
-    /// How often a scheduler rejects a job that has not been sent.
+    /// How often a scheduler may reject a job of which no attempt was sent.
     pub rejections: u8,
-    pub sabotage: Option<Sabotage>,
+    pub injected_fault: Option<InjectedFault>,
 }
 
-/// Faults of a program that the model must find.
+/// Implementation faults that the model must find.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Sabotage {
+pub enum InjectedFault {
     /// Attempts are sent before their record is acknowledged.
     SendsBeforeAck,
-    /// Coordinators don't wait for the others' reports.
+    /// Coordinators do not wait for the reports of the other members.
     SkipsReports,
-    /// That an earlier owner's attempt may have run is ignored.
+    /// A driver runs a job again although an attempt of an earlier owner may have run.
     IgnoresPriorExecution,
 }
 
-/// What a process has decided to do and not done yet: a pause between check and action.
+/// What a process has decided to do but not done yet, which models a pause between check and action.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum PendingAction {
     Attempt(u32),
@@ -46,10 +49,10 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Default)]
 pub struct Driver {
-    /// It runs the job, and has made so many attempts since it started that.
+    /// The number of attempts requested since the job was started here; `None` if the job does not run here.
     pub running: Option<u32>,
     pub actions: VecDeque<PendingAction>,
-    /// Attempts that run at the worker, each with its execution's number.
+    /// Attempts that run at the worker, each with the number of its execution.
     pub running_attempts: Vec<(u32, u8)>,
 }
 
@@ -59,27 +62,29 @@
     pub drivers: Vec<Driver>,
     pub in_transit: BTreeMap<(u16, u16), VecDeque<Message>>,
     pub member_lists: Vec<BTreeSet<u16>>,
-    /// The member list that each node has applied last.
+    /// The index of the member list that each node has applied last.
     pub applied: Vec<usize>,
     /// Nodes whose member lease has expired.
     pub without_lease: BTreeSet<u16>,
-    pub crashes: u8,
-    pub exclusions: u8,
-    pub returns: u8,
-    pub resubmissions: u8,
-    pub unavailable_workers: u8,
-    pub rejections: u8,
-    /// The process whose scheduler rejected the job last, while it lives and has its lease.
+    pub crashes_left: u8,
+    pub exclusions_left: u8,
+    pub rejoins_left: u8,
+    pub resubmissions_left: u8,
+    pub unavailable_workers_left: u8,
+    pub rejections_left: u8,
+    /// The node that rejected the job last, as long as it runs and has its member lease.
     pub rejected_by: Option<u16>,
-    /// The client was answered so, and has not submitted it again.
-    pub client_rejected: bool,
-    pub runs: u8,
-    /// Where the client waits now.
+    /// Whether the client was told that the job was rejected, and has not submitted it again.
+    pub last_answer_rejected: bool,
+    /// Number of executions of the job at the worker.
+    pub executions: u8,
+    /// The node at which the client waits, and its number there; `None` if it does not wait.
     pub client: Option<(u16, Waiter)>,
     pub next_waiter: Waiter,
+    /// Clients that have disconnected, of which their nodes have not been told yet.
     pub disconnects: Vec<(u16, Waiter)>,
     pub client_outcomes: Vec<JobOutcome>,
-    /// Jobs of other owners that were started.
+    /// How often the job was started after a takeover.
     pub taken_over: u8,
 }
 
@@ -87,16 +92,16 @@
 pub enum Action {
     Deliver(u16, u16),
     PerformPending(u16),
-    /// The attempt reaches no worker.
+    /// The node's next attempt reaches no worker.
     WorkerUnavailable(u16),
-    /// The scheduler rejects the job, none of whose attempts was sent there.
+    /// The node's scheduler rejects the job, of which no attempt was sent from there.
     Reject(u16),
-    /// An execution ends: with a result, or its connection breaks.
+    /// An execution ends: with a result (`true`), or by the loss of its connection.
     EndAttempt(u16, usize, bool),
     Crash(u16),
     LeaseExpires(u16),
     NewMemberList,
-    Return(u16),
+    Rejoin(u16),
     ApplyMemberList(u16),
     Resubmit(u16),
     Disconnect(usize),
@@ -123,7 +128,7 @@
         let waiter = state.next_waiter;
         state.next_waiter += 1;
         state.client = Some((node, waiter));
-        state.client_rejected = false;
+        state.last_answer_rejected = false;
         let submission = JobSubmission {
             payload: Arc::from(&b"sell"[..]),
             requires_ack: true,
@@ -148,7 +153,9 @@
                 Command::StartJob { prior_execution, taken_over, .. } => {
                     state.taken_over += u8::from(taken_over);
                     state.drivers[at].running = Some(0);
-                    if prior_execution.is_some() && self.sabotage != Some(Sabotage::IgnoresPriorExecution) {
+                    if prior_execution.is_some()
+                        && self.injected_fault != Some(InjectedFault::IgnoresPriorExecution)
+                    {
                         self.finish_job(state, node, JobOutcome::Failed);
                     } else {
                         self.start_attempt(state, node);
@@ -182,8 +189,8 @@
         let Some(attempt) = state.drivers[at].running else { return };
         state.drivers[at].running = Some(attempt + 1);
         let Some(failover) = &mut state.nodes[at] else { return };
-        let now = failover.request_attempt(NOW, &key(), attempt, "w", NEVER);
-        if now || self.sabotage == Some(Sabotage::SendsBeforeAck) {
+        let permitted = failover.request_attempt(NOW, &key(), attempt, "w", NEVER);
+        if permitted || self.injected_fault == Some(InjectedFault::SendsBeforeAck) {
             state.drivers[at].actions.push_back(PendingAction::Attempt(attempt));
         }
     }
@@ -196,7 +203,7 @@
         }
     }
 
-    /// A member of the newest list has crashed or lost its lease.
+    /// Whether a member on the newest list has crashed or lost its lease.
     pub fn member_list_is_stale(&self, state: &State) -> bool {
         let member_list = state.member_lists.last().expect("a member list");
         member_list
--- a/crates/failover/tests/model/transitions.rs
+++ b/crates/failover/tests/model/transitions.rs
@@ -1,28 +1,28 @@
-//! The transitions of the model: what may occur in a state, and what follows from it.
+//! The transitions of the model: the effect of each action on the state.
 
 use crate::cluster::{
-    Action, Cluster, Driver, NEVER, NOW, PendingAction, Sabotage, State, key, members, process, term,
+    Action, Cluster, Driver, InjectedFault, NEVER, NOW, PendingAction, State, key, members, process, term,
 };
 use brackenledge_failover::{JobOutcome, Message};
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 impl Cluster {
-    /// Lets an action occur; `None`: it can't.
+    /// Applies an action to the state; returns `None` if it is not possible.
     pub fn apply(&self, state: &mut State, action: Action) -> Option<()> {
         match action {
             Action::Deliver(from, to) => self.deliver(state, from, to),
             Action::PerformPending(node) => self.perform_pending(state, node),
             Action::WorkerUnavailable(node) => self.reach_no_worker(state, node),
             Action::Reject(node) => self.reject(state, node),
-            Action::EndAttempt(node, at, whole) => self.end_attempt(state, node, at, whole),
+            Action::EndAttempt(node, index, served) => self.end_attempt(state, node, index, served),
             Action::Crash(node) => self.crash(state, node),
             Action::LeaseExpires(node) => self.expire_lease(state, node),
             Action::NewMemberList => self.publish_member_list(state),
-            Action::Return(node) => self.return_to_member_list(state, node),
+            Action::Rejoin(node) => self.rejoin(state, node),
             Action::ApplyMemberList(node) => self.apply_member_list(state, node),
             Action::Resubmit(node) => self.resubmit(state, node),
-            Action::Disconnect(at) => self.disconnect(state, at),
+            Action::Disconnect(index) => self.disconnect(state, index),
         }
     }
 
@@ -36,13 +36,13 @@
         Some(())
     }
 
-    /// A process does what it has decided to do.
+    /// A node carries out the first of its pending actions.
     fn perform_pending(&self, state: &mut State, node: u16) -> Option<()> {
         match state.drivers[usize::from(node)].actions.pop_front()? {
             PendingAction::Attempt(attempt) => {
-                state.runs += 1;
-                let run = state.runs;
-                state.drivers[usize::from(node)].running_attempts.push((attempt, run));
+                state.executions += 1;
+                let execution = state.executions;
+                state.drivers[usize::from(node)].running_attempts.push((attempt, execution));
             }
             PendingAction::Answer(waiters, outcome) => {
                 if let Some((at, waiter)) = state.client
@@ -51,7 +51,7 @@
                 {
                     state.client = None;
                     if matches!(outcome, JobOutcome::Rejected(_)) {
-                        state.client_rejected = true;
+                        state.last_answer_rejected = true;
                     } else {
                         state.client_outcomes.push(outcome);
                     }
@@ -61,13 +61,13 @@
         Some(())
     }
 
-    /// An attempt reaches no worker, and another is requested.
+    /// An attempt reaches no worker, and the node requests another.
     fn reach_no_worker(&self, state: &mut State, node: u16) -> Option<()> {
         let at = usize::from(node);
         let PendingAction::Attempt(attempt) = state.drivers[at].actions.pop_front()? else {
             return None;
         };
-        state.unavailable_workers -= 1;
+        state.unavailable_workers_left -= 1;
         state.nodes[at].as_mut()?.attempt_never_ran(NOW, &key(), attempt);
         self.execute_commands(state, node);
         self.start_attempt(state, node);
@@ -76,17 +76,17 @@
     }
 
     fn reject(&self, state: &mut State, node: u16) -> Option<()> {
-        state.rejections -= 1;
+        state.rejections_left -= 1;
         state.rejected_by = Some(node);
         self.finish_job(state, node, JobOutcome::Rejected(None));
         self.execute_commands(state, node);
         Some(())
     }
 
-    /// An execution ends with a result, or without one.
-    fn end_attempt(&self, state: &mut State, node: u16, at: usize, whole: bool) -> Option<()> {
-        let (_, run) = state.drivers[usize::from(node)].running_attempts.remove(at);
-        let outcome = if whole { JobOutcome::Served(Arc::from([run])) } else { JobOutcome::Failed };
+    /// An execution ends with a result (`served`), or without one.
+    fn end_attempt(&self, state: &mut State, node: u16, index: usize, served: bool) -> Option<()> {
+        let (_, execution) = state.drivers[usize::from(node)].running_attempts.remove(index);
+        let outcome = if served { JobOutcome::Served(Arc::from([execution])) } else { JobOutcome::Failed };
         if state.drivers[usize::from(node)].running.is_some() {
             self.finish_job(state, node, outcome);
             self.execute_commands(state, node);
@@ -95,20 +95,20 @@
     }
 
     fn crash(&self, state: &mut State, node: u16) -> Option<()> {
-        state.crashes -= 1;
+        state.crashes_left -= 1;
         state.nodes[usize::from(node)] = None;
         state.drivers[usize::from(node)] = Driver::default();
-        // What it had sent may still arrive, or some of it.
+        // Messages that the node had sent may still be delivered.
         state.in_transit.retain(|ends, _| ends.1 != node);
         state.client = state.client.filter(|client| client.0 != node);
         state.without_lease.insert(node);
-        // Its discard may be lost with it, and the job is taken over.
+        // Its discard may be lost too; another node may then take the job over.
         state.rejected_by = state.rejected_by.filter(|&by| by != node);
         Some(())
     }
 
     fn expire_lease(&self, state: &mut State, node: u16) -> Option<()> {
-        state.exclusions -= 1;
+        state.exclusions_left -= 1;
         state.without_lease.insert(node);
         state.rejected_by = state.rejected_by.filter(|&by| by != node);
         state.nodes[usize::from(node)].as_mut()?.set_member_lease(NOW, 0);
@@ -116,7 +116,7 @@
         Some(())
     }
 
-    /// The leader publishes a member list without those that have no lease.
+    /// The leader publishes a member list without the nodes that have no lease.
     fn publish_member_list(&self, state: &mut State) -> Option<()> {
         let member_list =
             state.member_lists.last()?.difference(&state.without_lease).copied().collect::<BTreeSet<u16>>();
@@ -127,8 +127,8 @@
         Some(())
     }
 
-    fn return_to_member_list(&self, state: &mut State, node: u16) -> Option<()> {
-        state.returns -= 1;
+    fn rejoin(&self, state: &mut State, node: u16) -> Option<()> {
+        state.rejoins_left -= 1;
         let mut member_list = state.member_lists.last()?.clone();
         member_list.insert(node);
         state.without_lease.remove(&node);
@@ -146,7 +146,7 @@
         if member_list.contains(&node) {
             failover.set_member_lease(NOW, expiry);
         }
-        if self.sabotage == Some(Sabotage::SkipsReports) {
+        if self.injected_fault == Some(InjectedFault::SkipsReports) {
             for &other in member_list.iter().filter(|&&other| other != node) {
                 failover.handle_message(NOW, process(other), Message::ReportComplete { term: term(newest) });
             }
@@ -155,17 +155,17 @@
         Some(())
     }
 
-    /// The client submits the job again, elsewhere maybe.
+    /// The client disconnects and submits the job again, at the same node or at another one.
     fn resubmit(&self, state: &mut State, node: u16) -> Option<()> {
-        state.resubmissions -= 1;
+        state.resubmissions_left -= 1;
         state.disconnects.extend(state.client.take());
         self.submit(state, node);
         Some(())
     }
 
-    /// A scheduler learns that its client has disconnected.
-    fn disconnect(&self, state: &mut State, at: usize) -> Option<()> {
-        let (node, waiter) = state.disconnects.remove(at);
+    /// A node is told that its client has disconnected.
+    fn disconnect(&self, state: &mut State, index: usize) -> Option<()> {
+        let (node, waiter) = state.disconnects.remove(index);
         state.nodes[usize::from(node)].as_mut()?.client_disconnected(NOW, waiter);
         self.execute_commands(state, node);
         Some(())
