--- a/crates/test-cluster/src/error.rs
+++ b/crates/test-cluster/src/error.rs
@@ -1,108 +1,113 @@
-//! Everything that can go wrong before or beside a run, apart from what the run is to show.
+//! Errors that prevent a run or its output. What a run is meant to show, such as violations, is no error.
 
 use std::path::PathBuf;
 use std::{fmt, io};
 
-/// Why a scenario can't be read or a run can't be made.
+/// Why a scenario cannot be read, or a run or its output cannot be made.
 #[derive(Debug, thiserror::Error)]
 pub enum Error {
-    /// A file can't be read.
+    /// A file cannot be read.
     #[error("{}: {source}", .path.display())]
     ReadFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A scenario's file is wrong.
+    /// A scenario file is invalid.
     #[error(transparent)]
     Scenario(#[from] crate::scenario::ScenarioErrors),
-    /// A call to the system failed.
+    /// A system call failed.
     #[error("{operation}: {source}")]
     Io {
         /// What was attempted.
         operation: &'static str,
-        /// Why it failed.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// The scenario needs more descriptors than the system allows.
+    /// The scenario needs more file descriptors than the system allows.
     #[error(
-        "this scenario needs some {needed} descriptors and {allowed} are allowed: raise `ulimit -n`, or have fewer \
-         schedulers, workers or jobs a second"
+        "the scenario needs about {needed} file descriptors, but only {allowed} are allowed: \
+         raise `ulimit -n`, or use fewer schedulers, workers or jobs per second"
     )]
     DescriptorLimit {
-        /// For sockets and files of the test cluster.
+        /// Estimate for the sockets and files of the test cluster.
         needed: u64,
-        /// The hard limit.
+        /// The hard limit of the process.
         allowed: u64,
     },
-    /// The scheduler's program can't be started.
-    #[error("{}: {source}; build it with `cargo build` or name it with --program", .program.display())]
+    /// The scheduler's program cannot be started.
+    #[error(
+        "cannot start {}: {source}; build it with `cargo build` or give its path with --program",
+        .program.display()
+    )]
     StartProgram {
-        /// The program.
+        /// Path of the program.
         program: PathBuf,
-        /// Why not.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A scheduler ended before traffic began.
+    /// A scheduler process ended before traffic began. The text states which one, its exit status and the
+    /// end of its log.
     #[error("before it was ready, {0}")]
     EndedBeforeReady(String),
-    /// Schedulers did not come up.
+    /// Not all schedulers were ready within the start timeout.
     #[error(
         "the cluster is not up after {timeout_ms} ms:\n{}\n{}\n{}",
-        lines(.schedulers), figures(.schedulers), lines(.log)
+        join_lines(.schedulers), failover_figures(.schedulers), join_lines(.log)
     )]
     StartTimeout {
-        /// The time they had.
+        /// The start timeout.
         timeout_ms: f64,
-        /// What each of them lacks.
+        /// How far each scheduler has come.
         schedulers: Vec<StartState>,
-        /// What the processes have logged: there is no report of a run that did not begin.
+        /// Log lines of the processes. They are part of the error because a run that did not begin has no
+        /// report.
         log: Vec<String>,
     },
-    /// A scheduler sent a worker a job of no client of this cluster.
-    #[error("scheduler {scheduler} sent {request}, which no client asked for")]
+    /// A scheduler sent a worker a request that belongs to no client's job.
+    #[error("scheduler {scheduler} sent a worker the request {request}, which belongs to no client's job")]
     UnknownJob {
         /// The scheduler that the connection was proxied for.
         scheduler: usize,
-        /// The request's `X-Trace-Id`.
+        /// `X-Trace-Id` of the request.
         request: String,
     },
-    /// The caller has stopped the run.
-    #[error("interrupted; its processes have ended")]
+    /// The caller stopped the run.
+    #[error("the run was interrupted; its processes have ended")]
     Interrupted,
-    /// The history or the report can't be written as JSON.
-    #[error("writing JSON: {0}")]
+    /// The history or the report cannot be written as JSON.
+    #[error("cannot write JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A plot can't be drawn.
-    #[error("{title}: {source}")]
+    /// A plot cannot be drawn.
+    #[error("cannot draw the plot {title:?}: {source}")]
     Plot {
-        /// The plot.
+        /// Title of the plot.
         title: String,
-        /// Why not.
+        /// Error of the plotting library.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
 
 impl Error {
-    /// For `map_err`: names what was attempted.
+    /// For `map_err`: adds what was attempted to an I/O error.
     pub(crate) fn io(operation: &'static str) -> impl Fn(io::Error) -> Error {
         move |source| Error::Io { operation, source }
     }
 }
 
-/// How far a scheduler of a cluster that is not up has come.
+/// How far a scheduler has come in a cluster that is not up within the start timeout.
 #[derive(Debug)]
 pub struct StartState {
-    /// Its number.
+    /// Number of the scheduler in the scenario, from 0.
     pub scheduler: usize,
-    /// It has logged that it serves.
+    /// Whether it has logged that it serves.
     pub is_serving: bool,
-    /// The front proxy sends it clients.
+    /// Whether the front proxy believes it to be up, and so sends it clients.
     pub is_up: bool,
-    /// Its jobs are replicated, or the scenario asks for no replicas.
+    /// Whether its jobs are replicated. Also true if the scenario uses no failover.
     pub is_replicating: bool,
-    /// Its failover figures at the admin endpoint; `None`: it does not answer.
+    /// Failover figures from its admin endpoint; `None` if the endpoint does not answer.
     pub failover: Option<String>,
 }
 
@@ -112,19 +117,20 @@
         let answers = failover.is_some();
         write!(
             f,
-            "scheduler {scheduler}: serving {is_serving}, up at the front proxy {is_up}, answers INFO {answers}, \
-             replicating {is_replicating}"
+            "scheduler {scheduler}: serving {is_serving}, up at the front proxy {is_up}, \
+             answers INFO {answers}, replicating {is_replicating}"
         )
     }
 }
 
-/// The schedulers' failover figures: long, so they stand behind the short lines that say what is missing.
-fn figures(schedulers: &[StartState]) -> String {
+/// The failover figures of the schedulers that answered, a line each. They are long, so the error has them
+/// after the short lines that state what is missing.
+fn failover_figures(schedulers: &[StartState]) -> String {
     let line =
         |state: &StartState| Some(format!("scheduler {}: {}", state.scheduler, state.failover.as_ref()?));
     schedulers.iter().filter_map(line).collect::<Vec<_>>().join("\n")
 }
 
-fn lines<T: ToString>(of: &[T]) -> String {
-    of.iter().map(T::to_string).collect::<Vec<_>>().join("\n")
+fn join_lines<T: ToString>(items: &[T]) -> String {
+    items.iter().map(T::to_string).collect::<Vec<_>>().join("\n")
 }
--- a/crates/test-cluster/src/lib.rs
+++ b/crates/test-cluster/src/lib.rs
@@ -1,22 +1,26 @@
-//! A cluster on loopback: several processes of the scheduler, every link between them and the world made by a proxy,
-//! faults on these links and processes by a scenario's file, and a checker of what every stand-in observed.
+//! Runs a cluster of scheduler processes on loopback. A proxy carries every link among the processes and
+//! between them and the stand-ins for clients, workers and discovery. A scenario file injects faults into
+//! links and processes, and a checker judges the history of what the stand-ins observed.
 //!
-//! What it promises, and its tests show:
+//! Guarantees, each covered by tests:
 //!
-//! - **Every byte passes through the proxy.** A scheduler knows only addresses that the proxy listens on, so each
-//!   direction of each link can be delayed, held, cut or (datagrams) lost by itself.
-//! - **The verdict is independent of the schedulers.** The [`checker`] judges by what clients, workers and discovery
-//!   observed, never by what a scheduler reports of itself; each of its rules has a history that violates it.
-//! - **Nothing is left behind.** Processes end with the test cluster, by [`process`], even if that is killed itself;
-//!   ports and files are released with it.
+//! - **Every byte passes through the proxy.** A scheduler knows only addresses that the proxy listens on, so
+//!   each direction of each link can be delayed, held, cut or (datagrams only) made lossy independently.
+//! - **The verdict is independent of the schedulers.** The [`checker`] uses what clients, workers, discovery
+//!   and the proxy observed, never what a scheduler reports about itself. The tests have a history that
+//!   violates each of its rules.
+//! - **Nothing is left behind.** The processes end with the test cluster, even if that is killed itself (see
+//!   [`process`]), and their ports and files are released.
 //!
-//! What it is not: no network emulator for other programs, no kernel faults, no clock but the machine's. Loss on TCP
-//! shows as delay, as the kernel makes it. A link that is a black hole holds what was sent on its connections and
-//! delivers it late once it works again, as retransmission does.
+//! Limits: it does not emulate a network for other programs, injects no kernel faults and uses only the
+//! machine's clock. Loss on a TCP link shows as delay, as it does behind the kernel's retransmission. A link
+//! that is a black hole keeps the bytes sent on its connections and delivers them once it works again, as
+//! retransmission does.
 //!
-//! One thread, one poll, in [`cluster`]; all other modules but [`process`] do no I/O and read no clock. Imports go one way:
-//! [`scenario`] builds on [`rules`] and [`network_conditions`]; [`history`], [`stand_ins`] and [`checker`] on the scenario;
-//! [`cluster`] on all of these; [`report`] on the checker and the cluster's outcome.
+//! [`cluster`] runs in one thread with one poll; all other modules but [`process`] do no I/O and read no
+//! clock. Imports go one way: [`scenario`] builds on [`rules`] and [`network_conditions`]; [`history`],
+//! [`stand_ins`] and [`checker`] on the scenario; [`cluster`] on all of these; [`report`] on the checker and
+//! the cluster's outcome.
 
 pub mod checker;
 pub mod cluster;
@@ -35,8 +39,8 @@
 pub use error::{Error, StartState};
 pub use scenario::Scenario;
 
-/// Milliseconds since the run's traffic began, by the machine's monotonic clock; before it, negative.
+/// Milliseconds on the machine's monotonic clock since the run's traffic began; negative before that.
 pub type Millis = f64;
 
-/// Number of a proxied connection. It is never given twice in a run.
+/// Identifies a proxied connection. An id is never reused within a run.
 pub type ConnectionId = u64;
--- a/crates/test-cluster/src/report.rs
+++ b/crates/test-cluster/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run shows a person: a table, a few lines of figures, and one HTML page with plots.
+//! Human-readable reports of a run: a row of a table, a summary of a few lines, and an HTML page with plots.
 
 mod page;
 
@@ -10,14 +10,15 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 
-/// Failures that the summary lists at most.
+/// Maximum number of failures listed in the summary.
 const MAX_FAILURES_SHOWN: usize = 20;
 
-/// The head of a table of runs. Figures by class stand as farm-view/market-sale/coin-buy.
-pub const TABLE_HEAD: &str = "| scenario | jobs | served | lost | late or unanswered | rejected | ran twice | back at 95% after, s | violated rules | verdict |\n\
+/// The header of a table of runs. Counts by class have the form farm-view/market-sale/coin-buy.
+pub const TABLE_HEAD: &str = "| scenario | jobs | served | lost | late or unanswered | rejected | ran twice \
+     | back at 95% after, s | violated rules | verdict |\n\
      | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
-/// A run as a row of the table.
+/// Formats a run as a row of the table under [`TABLE_HEAD`].
 pub fn table_row(scenario: &Scenario, report: &Report, verdict: &Verdict) -> String {
     let recovery = match report.recovery_time {
         Some(ms) => format!("{:.1}", ms / 1_000.0),
@@ -39,11 +40,12 @@
     )
 }
 
-fn by_class(figures: &ByClass<usize>) -> String {
-    format!("{}/{}/{}", figures[0], figures[1], figures[2])
+fn by_class(counts: &ByClass<usize>) -> String {
+    format!("{}/{}/{}", counts[0], counts[1], counts[2])
 }
 
-/// Figures of all schedulers' admin endpoints whose names begin with a prefix, added up by name.
+/// Sums the figures in replies of admin endpoints by name, over all schedulers. Only figures whose names
+/// begin with `prefix` are included.
 pub fn sum_figures(replies: &[AdminReply], prefix: &str) -> BTreeMap<String, u64> {
     let mut sums = BTreeMap::new();
     for line in replies.iter().flat_map(|reply| reply.text.lines()) {
@@ -57,11 +59,11 @@
     sums
 }
 
-/// What became of jobs in flight at a fault, in a line.
+/// Formats what became of jobs in flight at a fault, as one line.
 pub fn takeover_line(scenario: &Scenario, report: &Report) -> String {
     format!(
-        "{}: in flight at a fault with 2 s left {}, of these answered {}; taken over {}, {} of them twice, the first \
-         attempt after {:.0} ms at most",
+        "{}: in flight at a fault with 2 s left {}, of these answered {}; \
+         taken over {}, {} of them more than once, the first attempt after {:.0} ms at most",
         scenario.name,
         by_class(&report.in_flight_at_fault),
         by_class(&report.answered),
@@ -71,7 +73,7 @@
     )
 }
 
-/// A run in a few lines.
+/// Formats a run as a few lines: the table's row, figures by class, failover, messages, leases and failures.
 pub fn summary(scenario: &Scenario, report: &Report, verdict: &Verdict) -> String {
     let row = table_row(scenario, report, verdict);
     let mut lines = vec![format!("{}: {}", scenario.name, scenario.why), format!("{TABLE_HEAD}\n{row}")];
@@ -79,7 +81,7 @@
     lines.push(takeover_line(scenario, report));
     let seconds = scenario.length / 1_000.0;
     lines.push(format!(
-        "messages between schedulers: {:.1} a second, {:.0} bytes a second",
+        "messages between schedulers: {:.1} per second, {:.0} bytes per second",
         report.messages as f64 / seconds,
         report.message_bytes as f64 / seconds
     ));
@@ -97,7 +99,8 @@
 fn class_line(report: &Report, class: usize) -> String {
     let latency = report.latency[class];
     format!(
-        "{}: {} jobs, {} served (median {:.0} ms, 99th percentile {:.0}, maximum {:.0}), {} requests, {} failed",
+        "{}: {} jobs, {} served (median {:.0} ms, 99th percentile {:.0}, maximum {:.0}), \
+         {} requests, {} failed",
         CLASSES[class].name,
         report.jobs[class],
         report.served[class],
@@ -111,12 +114,12 @@
 
 fn role_line(report: &Report) -> String {
     let mut holders = String::new();
-    for named in &report.role_holders {
-        let _ = write!(holders, "{} of role {} at {:.1} s, ", named.holder, named.role, named.at / 1_000.0);
+    for entry in &report.role_holders {
+        let _ = write!(holders, "{} of role {} at {:.1} s, ", entry.holder, entry.role, entry.at / 1_000.0);
     }
     let vacancy = report.max_vacancy.map_or("never".into(), |ms| format!("{ms:.0} ms"));
     format!(
-        "lease holders: {}; the next one after {vacancy} at most; fenced messages {}, of an old term {}",
+        "lease holders: {}; the next one after {vacancy} at most; fenced messages {}, of an outdated term {}",
         holders.trim_end_matches(", "),
         report.fenced_messages,
         report.late_fenced_messages
--- a/crates/test-cluster/src/report/page.rs
+++ b/crates/test-cluster/src/report/page.rs
@@ -1,4 +1,4 @@
-//! The HTML page of a run.
+//! The HTML page of a run, with plots as inline SVG.
 
 use super::summary;
 use crate::checker::{INTERVAL, Report, Verdict};
@@ -7,7 +7,7 @@
 use plotters::prelude::*;
 use std::fmt::Write as _;
 
-/// Colours of lines, in turn.
+/// Colours of the lines of a plot; reused in turn if there are more lines.
 const COLOURS: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -16,13 +16,14 @@
     RGBColor(255, 127, 14),
     RGBColor(23, 190, 207),
 ];
-/// Of the bands that mark faults.
+/// Colour of the bands that mark faults, drawn translucently.
 const FAULT_COLOUR: RGBColor = RGBColor(200, 60, 60);
-/// Width of the band of a fault without an end, as a fraction of the run.
-const ENDLESS_FAULT_WIDTH: f64 = 0.01;
+/// Width of the band of a fault that has no end, as a fraction of the run.
+const OPEN_ENDED_FAULT_WIDTH: f64 = 0.01;
+/// Width and height in pixels.
 const PLOT_SIZE: (u32, u32) = (960, 300);
 
-/// A line of a plot: a value for each interval.
+/// A line of a plot, with a value for each interval of the run.
 struct Line {
     name: String,
     values: Vec<f64>,
@@ -56,8 +57,8 @@
                 .y_label_area_size(44)
                 .build_cartesian_2d(0.0..seconds(scenario.length), 0.0..self.max)?;
             for fault in &scenario.faults {
-                let endless = fault.at + ENDLESS_FAULT_WIDTH * scenario.length;
-                let until = fault.until.unwrap_or(endless).min(scenario.length);
+                let open_end = fault.at + OPEN_ENDED_FAULT_WIDTH * scenario.length;
+                let until = fault.until.unwrap_or(open_end).min(scenario.length);
                 let band = [(seconds(fault.at), 0.0), (seconds(until), self.max)];
                 chart.draw_series([Rectangle::new(band, FAULT_COLOUR.mix(0.14).filled())])?;
             }
@@ -81,7 +82,7 @@
 }
 
 impl Line {
-    /// Each value in the middle of its interval.
+    /// Places each value at the middle of its interval.
     fn points(&self) -> impl Iterator<Item = (f64, f64)> {
         let values = self.values.iter().enumerate();
         values.map(|(interval, &value)| (seconds((interval as f64 + 0.5) * INTERVAL), value))
@@ -96,17 +97,17 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// A page that needs no other file: the summary, service by zone and requests in flight by scheduler over time, with the
-/// faults as bands.
+/// Renders a self-contained page: plots over time of the jobs served by zone and the requests in flight by
+/// scheduler, with faults as bands, then the list of faults and the summary.
 pub fn html(scenario: &Scenario, report: &Report, verdict: &Verdict) -> Result<String, Error> {
     let mut page = format!(
         "<!doctype html><meta charset=\"utf-8\"><title>{0}</title>\
-         <style>body{{font:14px sans-serif;max-width:980px;margin:2em auto}}pre{{background:#f4f4f4;padding:1em;\
-         overflow:auto}}</style><h1>{0}</h1><p>{1}</p>",
+         <style>body{{font:14px sans-serif;max-width:980px;margin:2em auto}}\
+         pre{{background:#f4f4f4;padding:1em;overflow:auto}}</style><h1>{0}</h1><p>{1}</p>",
         escape(&scenario.name),
         escape(&scenario.why)
     );
-    page.push_str(&service_plot(scenario, report).to_svg(scenario)?);
+    page.push_str(&served_plot(scenario, report).to_svg(scenario)?);
     page.push_str(&in_flight_plot(report).to_svg(scenario)?);
     page.push_str("<h2>Faults</h2><ul>");
     for fault in &scenario.faults {
@@ -118,9 +119,9 @@
     Ok(page)
 }
 
-fn service_plot(scenario: &Scenario, report: &Report) -> Plot<'static> {
+fn served_plot(scenario: &Scenario, report: &Report) -> Plot<'static> {
     let zones = scenario.zones.iter().cloned().zip(report.served_by_zone.iter().cloned());
-    let title = "fraction of the jobs served, by the client's zone and the time of their creation";
+    let title = "fraction of the jobs served, by the client's zone and the time of creation";
     Plot { title, lines: zones.map(|(name, values)| Line { name, values }).collect(), max: 1.05 }
 }
 
--- a/crates/test-cluster/tests/errors.rs
+++ b/crates/test-cluster/tests/errors.rs
@@ -1,16 +1,16 @@
-//! Texts of errors: where a report is cut short, its beginning must say what is wrong.
+//! Tests of error texts. Reports of failed tests may be truncated, so the first lines must state the cause.
 #![allow(missing_docs)]
 
 use brackenledge_test_cluster::{Error, StartState};
 
-/// Of a scheduler whose state is fine but for `is_replicating`.
+/// The state of a scheduler that is up, apart from replication.
 fn state(scheduler: usize, is_replicating: bool) -> StartState {
     let failover = Some("handover.figure=1 ".repeat(50));
     StartState { scheduler, is_serving: true, is_up: true, is_replicating, failover }
 }
 
 #[test]
-fn a_cluster_that_is_not_up_states_what_each_scheduler_lacks_before_figures_and_logs() {
+fn the_start_timeout_error_states_what_each_scheduler_lacks_before_figures_and_logs() {
     let schedulers = (0..6).map(|number| state(number, number != 4)).collect();
     let log = vec!["-1 scheduler 0: a line of its log".to_owned()];
     let text = Error::StartTimeout { timeout_ms: 20_000.0, schedulers, log }.to_string();
