--- a/crates/test-cluster/src/checker/availability.rs
+++ b/crates/test-cluster/src/checker/availability.rs
@@ -1,4 +1,4 @@
-//! Service and requests in flight over time, and the time until service has recovered.
+//! Jobs served and requests in flight over time, and the time until service recovers after faults.
 
 use super::INTERVAL;
 use super::observations::Observations;
@@ -6,34 +6,37 @@
 use crate::Millis;
 use crate::scenario::Scenario;
 
-/// Service has recovered at this fraction of what it was before the first fault.
+/// Service counts as recovered at this fraction of its level before the first fault.
 const RECOVERED_FRACTION: f64 = 0.95;
 
-/// Jobs of one interval.
+/// Jobs created in one interval.
 #[derive(Clone, Copy, Default)]
 struct JobCount {
     created: usize,
+    /// Those of them that were served, whenever that was.
     served: usize,
 }
 
 impl JobCount {
+    /// 1 if no job was created.
     fn served_fraction(self) -> f64 {
         if self.created == 0 { 1.0 } else { self.served as f64 / self.created as f64 }
     }
 }
 
-/// A run cut into intervals.
+/// A run divided into intervals of [`INTERVAL`].
 struct Intervals {
     count: usize,
 }
 
 impl Intervals {
+    /// The interval of a time. Times before and after the run belong to the first and the last interval.
     fn index(&self, at: Millis) -> usize {
         ((at.max(0.0) / INTERVAL) as usize).min(self.count.saturating_sub(1))
     }
 }
 
-/// Adds all of these to the report.
+/// Adds service by zone, requests in flight and the recovery time to the report.
 pub fn add(report: &mut Report, observations: &Observations, scenario: &Scenario) {
     let intervals = Intervals { count: (scenario.length / INTERVAL).ceil() as usize };
     let by_zone = jobs_by_zone(observations, scenario, &intervals);
@@ -79,7 +82,9 @@
     in_flight
 }
 
-/// Time from the start of the last fault, since a death without a return is repaired by the others.
+/// Time from the start of the last fault until service has recovered for the rest of the run; `None` if it
+/// has not. It counts from the fault's start because a killed process may never return, in which case the
+/// other schedulers restore service.
 fn recovery_time(served: &[f64], scenario: &Scenario, intervals: &Intervals) -> Option<Millis> {
     let starts = || scenario.faults.iter().map(|fault| fault.at);
     let first = starts().fold(f64::INFINITY, f64::min);
@@ -88,8 +93,8 @@
     }
     let last = starts().fold(0.0, f64::max);
     let before = &served[..intervals.index(first).max(1).min(intervals.count)];
-    let normal = before.iter().sum::<f64>() / before.len().max(1) as f64;
-    let is_degraded = |&interval: &usize| served[interval] < RECOVERED_FRACTION * normal;
+    let baseline = before.iter().sum::<f64>() / before.len().max(1) as f64;
+    let is_degraded = |&interval: &usize| served[interval] < RECOVERED_FRACTION * baseline;
     match (intervals.index(last)..intervals.count).rev().find(is_degraded) {
         None => Some(0.0),
         Some(interval) if interval + 1 < intervals.count => Some((interval + 1) as f64 * INTERVAL - last),
--- a/crates/test-cluster/src/checker/drains.rs
+++ b/crates/test-cluster/src/checker/drains.rs
@@ -1,4 +1,5 @@
-//! The rule on drains: nothing new to a worker that a scheduler knows, or has to know, to be draining or gone.
+//! The rule on drains: a scheduler sends no new attempt to a worker that it knows, or must know, to be
+//! draining or gone.
 
 use super::Violation;
 use super::fault_windows::FaultWindow;
@@ -8,30 +9,31 @@
 use crate::rules::DRAINS;
 use std::collections::HashMap;
 
-/// Time until a drain must be respected: 250 ms, the platform's 50 ms, and 200 ms for the machine.
+/// How long after it knows of a drain a scheduler may still send new attempts: 250 ms, the platform's 50 ms,
+/// and 200 ms because one machine runs all processes.
 const DRAIN_TOLERANCE: Millis = 250.0 + 50.0 + 200.0;
-/// What discovery lists counts as received after this at the latest, whether it has arrived or not, once the scheduler can
-/// reach discovery.
-const RECEIVED_AFTER: Millis = 6_000.0;
+/// A change of discovery's list counts as known to a scheduler that can reach discovery after this time,
+/// whether or not it has arrived.
+const MAX_DISCOVERY_DELAY: Millis = 6_000.0;
 
-/// A time in which a scheduler could not reach discovery.
+/// A time span in which a scheduler could not reach discovery.
 #[derive(Clone, Copy)]
 struct UnreachableWindow {
     from: Millis,
     until: Millis,
 }
 
-/// What is known of drains up to a time.
+/// What the history has stated about drains up to the current event.
 struct KnownDrains {
-    /// By scheduler and worker: when discovery wrote it to the scheduler.
+    /// By scheduler and worker: when discovery first wrote the drain to the scheduler.
     announced: HashMap<(usize, usize), Millis>,
-    /// By worker: since when discovery's list says so.
+    /// By worker: since when discovery's list states the drain.
     listed: HashMap<usize, Millis>,
     /// By scheduler.
     unreachable: Vec<Vec<UnreachableWindow>>,
 }
 
-/// No scheduler sends anything new to a worker that it knows, or has to know, to accept nothing new.
+/// Finds attempts on workers that the sending scheduler knew, or must have known, to accept no new work.
 pub fn drains(history: &[HistoryEvent], observations: &Observations) -> Vec<Violation> {
     let mut violations = Vec::new();
     let schedulers = observations.fault_windows.len();
@@ -60,7 +62,8 @@
                 let Some(since) = known.known_since(windows, *scheduler, *worker, *sent_at) else { continue };
                 if *sent_at > since + DRAIN_TOLERANCE {
                     let description = format!(
-                        "scheduler {scheduler} sent {request} to worker {worker} {:.0} ms after it had to know of its drain",
+                        "scheduler {scheduler} sent {request} to worker {worker} \
+                         {:.0} ms after it must have known of the drain",
                         sent_at - since
                     );
                     violations.push(Violation { rule: DRAINS, at: *at, description });
@@ -73,7 +76,8 @@
 }
 
 impl KnownDrains {
-    /// Since when a scheduler knows, or has to know, that a worker accepts nothing new.
+    /// Since when a scheduler knows, or must know, that a worker accepts no new work; `None` if it need not
+    /// know.
     fn known_since(
         &self,
         windows: &[FaultWindow],
@@ -85,22 +89,23 @@
         let announced = announced.map(|&at| after_faults(windows, at, now));
         let listed = self.listed.get(&worker).map(|&at| {
             let reachable = self.reachable_since(scheduler, at, now);
-            after_faults(windows, reachable, now) + RECEIVED_AFTER
+            after_faults(windows, reachable, now) + MAX_DISCOVERY_DELAY
         });
         announced.into_iter().chain(listed).min_by(f64::total_cmp)
     }
 
-    /// Since when a scheduler could have learned from discovery what that has listed since `listed`.
+    /// Since when a scheduler could have got from discovery what its list has stated since `listed`.
     fn reachable_since(&self, scheduler: usize, listed: Millis, now: Millis) -> Millis {
-        let missed =
+        let overlapping =
             self.unreachable[scheduler].iter().filter(|window| window.from <= now && listed <= window.until);
-        missed.map(|window| window.until).fold(listed, f64::max)
+        overlapping.map(|window| window.until).fold(listed, f64::max)
     }
 }
 
-/// Since when a scheduler can know of what it is told at `at`: one that was paused or down then learns of it on its return.
+/// Since when a scheduler can know what it was sent at `at`: a process that was paused or down then or later
+/// counts as learning of it when it returns.
 fn after_faults(windows: &[FaultWindow], at: Millis, now: Millis) -> Millis {
-    let missed =
+    let overlapping =
         windows.iter().filter(|window| window.is_process_fault() && window.from <= now && at <= window.until);
-    missed.map(|window| window.until).fold(at, f64::max)
+    overlapping.map(|window| window.until).fold(at, f64::max)
 }
--- a/crates/test-cluster/src/checker/exemption.rs
+++ b/crates/test-cluster/src/checker/exemption.rs
@@ -1,14 +1,14 @@
-//! Which requests a scheduler's fault windows exempt from the rule on answers.
+//! Exemptions of requests from the rule on answers, due to fault windows of their scheduler.
 
 use super::KILL_TOLERANCE;
 use super::fault_windows::{FaultCause, FaultWindow};
 use super::observations::Request;
 use crate::Millis;
 
-/// After SIGTERM a scheduler still answers what arrives within this time.
+/// A scheduler must still answer requests that were sent within this time after its SIGTERM.
 const TERMINATION_GRACE: Millis = 700.0;
 
-/// What a scheduler's fault windows exempt a request from.
+/// What a request is exempted from by its scheduler's fault windows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Exemption {
     /// Its connection may have ended without an answer.
@@ -17,15 +17,16 @@
     pub may_be_late: bool,
 }
 
-/// The exemption of a request that ended at `last`.
-pub fn exemption(windows: &[FaultWindow], request: &Request, last: Millis) -> Exemption {
+/// Determines the exemption of a request. `last_end` is the time of its last end; without one, the time by
+/// which its answer was due.
+pub fn exemption(windows: &[FaultWindow], request: &Request, last_end: Millis) -> Exemption {
     let sent_at = request.sent_at;
-    let mut may_be_lost = windows.iter().any(|window| lost_with_duplicate(window, request, last));
+    let mut may_be_lost = windows.iter().any(|window| lost_with_duplicate(window, request, last_end));
     let mut may_be_late = false;
-    for window in windows.iter().filter(|window| window.from <= last && sent_at <= window.until) {
+    for window in windows.iter().filter(|window| window.from <= last_end && sent_at <= window.until) {
         match window.cause {
             FaultCause::Killed => may_be_lost = true,
-            // What arrived in time before the announced end must be answered.
+            // SIGTERM announces the end: requests sent until the grace period is over must be answered.
             FaultCause::Terminated => may_be_lost |= sent_at > window.from + TERMINATION_GRACE,
             FaultCause::Paused | FaultCause::ClientsCutOff => may_be_late |= sent_at <= window.until,
         }
@@ -33,11 +34,12 @@
     Exemption { may_be_lost, may_be_late: may_be_late || may_be_lost }
 }
 
-/// Of two processes under one name the other one continues, so that the window closes at once. A client that had not
-/// noticed the death may have written to a connection of the killed one.
-fn lost_with_duplicate(window: &FaultWindow, request: &Request, last: Millis) -> bool {
+/// Whether the request may have been lost with one of two processes that run under one name. The other
+/// process continues, so the fault window closes at once, but a client that has not yet noticed the kill may
+/// write to a connection of the killed process.
+fn lost_with_duplicate(window: &FaultWindow, request: &Request, last_end: Millis) -> bool {
     window.cause == FaultCause::Killed
         && request.connected_at <= window.from
-        && window.from <= last
-        && last <= window.from + KILL_TOLERANCE
+        && window.from <= last_end
+        && last_end <= window.from + KILL_TOLERANCE
 }
--- a/crates/test-cluster/src/checker/fault_windows.rs
+++ b/crates/test-cluster/src/checker/fault_windows.rs
@@ -1,4 +1,4 @@
-//! Times in which a scheduler could not answer.
+//! Fault windows: time spans in which a scheduler could not answer its clients.
 
 use crate::Millis;
 use crate::history::{HistoryEvent, ProcessEvent};
@@ -12,7 +12,8 @@
     ClientsCutOff,
 }
 
-/// A time in which a scheduler could not answer.
+/// A time span in which a scheduler could not answer its clients. `until` is infinite if the fault never
+/// ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultWindow {
     pub from: Millis,
@@ -27,7 +28,7 @@
     }
 }
 
-/// A fault window of a process that is still open.
+/// A fault window of a process that has no end yet.
 #[derive(Clone, Copy)]
 struct OpenWindow {
     from: Millis,
@@ -40,7 +41,7 @@
     }
 }
 
-/// The fault windows of each scheduler.
+/// Derives the fault windows of each scheduler from the history.
 pub fn fault_windows(history: &[HistoryEvent], schedulers: usize) -> Vec<Vec<FaultWindow>> {
     let mut windows = vec![Vec::new(); schedulers];
     let mut open: Vec<Option<OpenWindow>> = vec![None; schedulers];
@@ -62,7 +63,7 @@
     windows
 }
 
-/// Updates a scheduler's open window; gives the window that the change closes.
+/// Updates a scheduler's open window and returns the window that the change closes, if any.
 fn apply_process_event(
     open: &mut Option<OpenWindow>,
     at: Millis,
@@ -71,7 +72,8 @@
     let begins = |cause| OpenWindow { from: at, cause };
     match change {
         ProcessEvent::Started | ProcessEvent::Resumed => open.take().map(|open| open.close(at)),
-        // A process that is paused or was terminated may be killed as well.
+        // A process that is paused or got SIGTERM may be killed as well, which closes its window and opens
+        // another.
         ProcessEvent::Killed => open.replace(begins(FaultCause::Killed)).map(|open| open.close(at)),
         ProcessEvent::Terminated => {
             open.get_or_insert(begins(FaultCause::Terminated));
--- a/crates/test-cluster/src/checker/mod.rs
+++ b/crates/test-cluster/src/checker/mod.rs
@@ -1,8 +1,9 @@
-//! Checks a history against the rules, and computes statistics of it. No I/O, no clock.
+//! Checks a history against the rules and computes statistics of it, without I/O or a clock.
 //!
-//! Each scheduler by itself must keep the rules in [`crate::rules`]. What only several schedulers together could guarantee is
-//! counted in the statistics: requests without an answer because their scheduler was killed, and jobs executed twice
-//! because their client sent a second request to another scheduler.
+//! The rules in [`crate::rules`] are those that each scheduler must keep by itself. What only several
+//! schedulers together could guarantee is no violation and is counted in the statistics instead: requests
+//! without an answer because their scheduler was killed, and jobs executed twice because their client sent a
+//! second request to another scheduler.
 
 mod availability;
 mod drains;
@@ -25,12 +26,12 @@
 use crate::scenario::Scenario;
 use observations::Observations;
 
-/// Answers may be this much later than their deadline: 8 ms and 50 ms are the platform's, the rest is for a machine
-/// that runs all processes at once.
+/// How long after its deadline an answer still counts as in time. The platform allows 8 ms and 50 ms; the
+/// rest is for a machine that runs all processes at once.
 pub const ANSWER_TOLERANCE: Millis = 300.0;
-/// What a killed process had written to its connections has been read by then.
+/// Time after a kill within which everything that the killed process wrote to its connections has been read.
 pub const KILL_TOLERANCE: Millis = 200.0;
-/// Availability is measured over intervals of this length.
+/// Length of the intervals over which availability is measured.
 pub const INTERVAL: Millis = 500.0;
 
 /// Checks a history and computes its statistics.
@@ -44,7 +45,7 @@
     report
 }
 
-/// The violations of all rules, in order of time.
+/// Violations of all rules, in order of time.
 fn violations(history: &[HistoryEvent], observations: &Observations, scenario: &Scenario) -> Vec<Violation> {
     let mut violations = rules::answers(observations);
     violations.extend(rules::retries(observations, scenario));
--- a/crates/test-cluster/src/checker/observations.rs
+++ b/crates/test-cluster/src/checker/observations.rs
@@ -1,28 +1,29 @@
-//! The history arranged by job and by request.
+//! The history grouped by job and by request, for the rules and the statistics.
 
 use super::fault_windows::{FaultWindow, fault_windows};
 use crate::Millis;
 use crate::history::{HistoryEvent, RequestEnd};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// How a job ended for its client.
+/// How a job ended, as its client saw it.
 #[derive(Clone, Copy, Debug)]
 pub struct JobEnd {
     pub at: Millis,
     pub served: bool,
 }
 
-/// A client's job.
+/// A client's job. `class` is an index in [`CLASSES`](crate::scenario::CLASSES).
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     pub created_at: Millis,
     pub class: usize,
     /// The client's zone.
     pub zone: usize,
+    /// `None` if the job had not ended when the run was over.
     pub end: Option<JobEnd>,
 }
 
-/// The end of a request; more than one is a violation.
+/// An end of a request. More than one end per request is a violation.
 #[derive(Clone, Debug)]
 pub struct TimedEnd {
     pub at: Millis,
@@ -36,7 +37,7 @@
     pub received_at: Millis,
     pub scheduler: usize,
     pub worker: usize,
-    /// The worker gave it back without executing it.
+    /// Whether the worker returned it without executing it.
     pub returned: bool,
 }
 
@@ -44,17 +45,18 @@
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     pub job: usize,
-    /// The scheduler that it was sent to.
+    /// The scheduler that the client sent it to. Others may send attempts for it after a takeover.
     pub scheduler: usize,
     pub connected_at: Millis,
     pub sent_at: Millis,
-    /// 0 where it was never written completely.
+    /// 0 if it was never written completely.
     pub deadline: Millis,
     pub ends: Vec<TimedEnd>,
     pub attempts: Vec<Attempt>,
+    /// How many times workers began to execute it.
     pub executions: usize,
     pub results: BTreeSet<String>,
-    /// Times at which the client wrote it again although an attempt had reached a worker.
+    /// When the client sent it again although an attempt had already reached a worker.
     pub resent_after_attempt: Vec<Millis>,
 }
 
@@ -64,18 +66,18 @@
         self.deadline > 0.0
     }
 
-    /// When it ended first, or else its deadline.
+    /// When it first ended, or its deadline if it has no end.
     pub fn ended_at(&self) -> Millis {
         self.ends.first().map_or(self.deadline, |end| end.at)
     }
 }
 
-/// The history arranged by job and by request.
+/// The history grouped by job and by request.
 #[derive(Debug, Default)]
 pub struct Observations<'a> {
     pub jobs: BTreeMap<usize, Job>,
     pub requests: BTreeMap<&'a str, Request>,
-    /// By scheduler.
+    /// Indexed by scheduler.
     pub fault_windows: Vec<Vec<FaultWindow>>,
 }
 
@@ -147,13 +149,14 @@
         self.requests.entry(id).or_default()
     }
 
-    /// Requests that were written completely, with their names and their jobs' classes.
+    /// Requests that were written completely, each with its id and the class of its job.
     pub fn sent_requests(&self) -> impl Iterator<Item = (&'a str, &Request, usize)> {
         let sent = self.requests.iter().filter(|(_, request)| request.was_sent());
         sent.filter_map(|(id, request)| Some((*id, request, self.jobs.get(&request.job)?.class)))
     }
 
-    /// The results that workers made, by job. A client that sends a second request may get the result of its first.
+    /// The results that workers produced, grouped by job because a client that sends a second request for a
+    /// job may get the result of its first.
     pub fn results_by_job(&self) -> HashMap<usize, BTreeSet<&str>> {
         let mut results: HashMap<usize, BTreeSet<&str>> = HashMap::new();
         for request in self.requests.values() {
--- a/crates/test-cluster/src/checker/request_outcome.rs
+++ b/crates/test-cluster/src/checker/request_outcome.rs
@@ -1,4 +1,4 @@
-//! How a request ended, with the exemptions of its scheduler's fault windows taken into account.
+//! The outcome of a request, with exemptions due to fault windows of its scheduler.
 
 use super::ANSWER_TOLERANCE;
 use super::exemption::exemption;
@@ -7,39 +7,40 @@
 use crate::history::RequestEnd;
 use std::collections::BTreeSet;
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RequestOutcome {
     Served,
     Rejected,
     Failed,
-    /// Without an answer, exempted since its scheduler was killed.
+    /// It got no answer, and is exempted because its scheduler was killed.
     Lost,
-    /// Late or without an answer, exempted since its scheduler was paused or cut off.
+    /// It got a late answer or none, and is exempted because its scheduler was paused or cut off from its
+    /// clients.
     Late,
-    /// Against the rule on answers.
+    /// It violates the rule on answers.
     Violation {
         at: Millis,
         description: String,
     },
 }
 
-/// How a request ended by its first end. `results` are those that workers made for its job.
+/// Classifies a request by its first end. `results` are those that workers produced for its job.
 pub fn request_outcome(
     request: &Request,
     results: &BTreeSet<&str>,
     observations: &Observations,
 ) -> RequestOutcome {
-    let last = request.ends.last().map_or(request.deadline + ANSWER_TOLERANCE, |end| end.at);
-    let exempt = exemption(&observations.fault_windows[request.scheduler], request, last);
+    let last_end = request.ends.last().map_or(request.deadline + ANSWER_TOLERANCE, |end| end.at);
+    let exempt = exemption(&observations.fault_windows[request.scheduler], request, last_end);
     let violation = |at, description: String| RequestOutcome::Violation { at, description };
     let Some(first) = request.ends.first() else {
-        return violation(request.deadline, "neither answered nor ended".into());
+        return violation(request.deadline, "neither answered, nor disconnected, nor timed out".into());
     };
     let at = first.at;
     match &first.end {
         RequestEnd::Served(result) if !results.contains(result.as_str()) => {
-            violation(at, format!("served with {result:?}, which no worker made for it"))
+            violation(at, format!("served with the result {result:?}, which no worker produced for its job"))
         }
         RequestEnd::Served(_) if at > request.deadline + ANSWER_TOLERANCE && !exempt.may_be_late => {
             violation(at, format!("served {:.0} ms after its deadline", at - request.deadline))
--- a/crates/test-cluster/src/checker/role_statistics.rs
+++ b/crates/test-cluster/src/checker/role_statistics.rs
@@ -1,4 +1,4 @@
-//! Who held which role's lease, how long a role was vacant, and how many fenced messages there were.
+//! Statistics of role leases: their holders, how long roles were vacant, and fenced messages.
 
 use super::report::{Report, RoleHolder};
 use crate::Millis;
@@ -6,10 +6,10 @@
 use brackenledge_leases::{Role, Term};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-/// The duration of a role's lease, as operators have it by default.
+/// Duration of a role's lease, by default in the operators' settings.
 const LEASE_DURATION: Millis = 1_500.0;
 
-/// Adds lease holders, vacancies and fenced messages to the report.
+/// Adds lease holders, the maximum vacancy and fenced messages to the report.
 pub fn add(report: &mut Report, history: &[HistoryEvent]) {
     let mut roles = Roles { max_vacancy: 0.0, ..Roles::default() };
     let mut messages = FencedMessages::default();
@@ -18,12 +18,12 @@
         messages.add(event);
     }
     report.max_vacancy = roles.vacant.is_empty().then_some(roles.max_vacancy);
-    report.role_holders = roles.named;
+    report.role_holders = roles.announced;
     report.fenced_messages = messages.sent;
     report.late_fenced_messages = messages.late;
 }
 
-/// A role whose holder is lost.
+/// A role whose lease holder was killed, paused or terminated and has no successor yet.
 struct Vacancy {
     since: Millis,
     former_holder: usize,
@@ -31,10 +31,12 @@
 
 #[derive(Default)]
 struct Roles {
-    named: Vec<RoleHolder>,
+    /// Each change of holder, in the order of the announcements.
+    announced: Vec<RoleHolder>,
+    /// The holder announced last.
     holders: BTreeMap<Role, usize>,
     vacant: BTreeMap<Role, Vacancy>,
-    /// Schedulers that have come back since they were lost last.
+    /// Schedulers that were started or resumed and not lost since.
     returned: BTreeSet<usize>,
     max_vacancy: Millis,
 }
@@ -65,12 +67,12 @@
         }
     }
 
-    fn add_holder(&mut self, named: RoleHolder) {
-        let RoleHolder { at, role, holder } = named;
+    fn add_holder(&mut self, announced: RoleHolder) {
+        let RoleHolder { at, role, holder } = announced;
         if self.holders.insert(role, holder) != Some(holder) {
-            self.named.push(named);
+            self.announced.push(announced);
         }
-        // The role is filled by another holder, or by the same one once it is back.
+        // The vacancy ends with another holder, or with the same one once it has returned.
         let is_filled = self.vacant.get(&role).is_some_and(|vacancy| {
             vacancy.former_holder != holder || self.returned.contains(&vacancy.former_holder)
         });
@@ -78,7 +80,7 @@
             return;
         }
         let Some(vacancy) = self.vacant.remove(&role) else { return };
-        // A holder that was back before its lease had expired has simply continued.
+        // A holder that returned before its lease expired kept the lease, so the role was not vacant.
         let length = at - vacancy.since;
         if vacancy.former_holder != holder || length > LEASE_DURATION {
             self.max_vacancy = self.max_vacancy.max(length);
@@ -90,7 +92,7 @@
 struct FencedMessages {
     sent: usize,
     late: usize,
-    /// The newest term that each receiver has got, by role.
+    /// The newest term that each receiver has got, by role and receiver.
     newest: HashMap<(Role, usize), Term>,
 }
 
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Whether the receiver has got a newer term before.
+    /// Records a term at its receiver. Returns whether the receiver had got a newer one before.
     fn receive(&mut self, role: Role, term: Term, receiver: usize) -> bool {
         let newest = self.newest.entry((role, receiver)).or_insert(term);
         let is_late = term < *newest;
--- a/crates/test-cluster/src/checker/rules.rs
+++ b/crates/test-cluster/src/checker/rules.rs
@@ -1,4 +1,4 @@
-//! One function for each rule in [`crate::rules`], each gives the rule's violations.
+//! The rules in [`crate::rules`], except the one on drains. Each has a function that returns its violations.
 
 use super::Violation;
 use super::observations::{Attempt, Observations, Request};
@@ -10,36 +10,40 @@
 use brackenledge_leases::{Role, Term};
 use std::collections::{BTreeMap, HashMap};
 
-/// The load of a worker that warms up is summed over this time, and may be so many times its capacity.
+/// The work that reaches a warming worker is summed over a sliding window of this length.
 const SLOW_START_SPAN: Millis = 3_000.0;
+/// The work within the window may be this multiple of the worker's capacity.
 const SLOW_START_MULTIPLE: f64 = 4.0;
-/// The longest datagram between schedulers.
+/// Maximum length of a datagram between schedulers.
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// Each request has one answer, in time, with a result that a worker made for its job.
+/// Each request gets one answer, in time, with a result that a worker produced for its job.
 pub fn answers(observations: &Observations) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut add = |at, description| violations.push(Violation { rule: ANSWERS, at, description });
     for (id, request) in &observations.requests {
         for &at in &request.resent_after_attempt {
-            add(at, format!("{id}: its reused connection was ended after the request had been read"));
+            add(
+                at,
+                format!("{id}: its reused connection was closed after the scheduler had read the request"),
+            );
         }
     }
     let results = observations.results_by_job();
     for (id, request, _) in observations.sent_requests() {
         let scheduler = request.scheduler;
         if let Some(second) = request.ends.get(1) {
-            add(second.at, format!("{id} at {scheduler}: ended {} times", request.ends.len()));
+            add(second.at, format!("{id} at scheduler {scheduler}: ended {} times", request.ends.len()));
         }
         let outcome = request_outcome(request, &results[&request.job], observations);
         if let RequestOutcome::Violation { at, description } = outcome {
-            add(at, format!("{id} at {scheduler}: {description}"));
+            add(at, format!("{id} at scheduler {scheduler}: {description}"));
         }
     }
     violations
 }
 
-/// Nothing that may have been executed is rejected or executed again, unless the job's class allows it.
+/// No request that may have been executed is rejected or sent again, unless its class allows it.
 pub fn retries(observations: &Observations, scenario: &Scenario) -> Vec<Violation> {
     let mut violations = Vec::new();
     for (id, request, class) in observations.sent_requests() {
@@ -55,16 +59,16 @@
         return violations;
     };
     let first = request.attempts[executed];
-    let sent = format!("{id}, sent to worker {} at {:.0}", first.worker, first.received_at);
+    let sent = format!("{id}, sent to worker {} at {:.0} ms", first.worker, first.received_at);
     let rejected = request.ends.first().filter(|end| end.end == RequestEnd::Rejected);
     if let Some(end) = rejected.filter(|_| class != FARM_VIEW) {
-        add(end.at, format!("{sent}: rejected, and may have run"));
+        add(end.at, format!("{sent}: rejected although it may have run"));
     }
-    // An attempt beside one that is returned later is a hedged request all the same.
+    // A later attempt counts even if its worker returns it: it was a hedged request all the same.
     let others = request.attempts.iter().enumerate().filter(|&(number, _)| number != executed);
     for (_, retry) in others.filter(|(_, attempt)| attempt.received_at > first.received_at) {
         if let Some(reason) = forbidden_retry(&first, retry, class, scenario) {
-            add(retry.received_at, format!("{sent} and to {}: {reason}", retry.worker));
+            add(retry.received_at, format!("{sent} and to worker {}: {reason}", retry.worker));
         }
     }
     violations
@@ -80,21 +84,21 @@
     let same_zone = scenario.zone_of(retry.worker) == scenario.zone_of(first.worker);
     let in_window = retry.received_at <= first.received_at + DEDUPLICATION_WINDOW;
     match class {
-        MARKET_SALE => Some("must not be sent again, may have run"),
-        COIN_BUY if !same_zone => Some("may have run in another zone"),
-        COIN_BUY if !in_window => Some("may have run, and its deduplication window is over"),
+        MARKET_SALE => Some("it may have run, and its class allows no retry"),
+        COIN_BUY if !same_zone => Some("it may have run in another zone"),
+        COIN_BUY if !in_window => Some("it may have run, and its deduplication window is over"),
         _ => None,
     }
 }
 
-/// Attempts that have reached a worker since its start.
+/// Attempts that have reached a worker since it started.
 struct WarmUp {
     started_at: Millis,
-    /// When each arrived, with its run time.
+    /// Time of arrival and run time of each attempt.
     received: Vec<(Millis, Millis)>,
 }
 
-/// No worker gets much more work than it has capacity for while it warms up.
+/// No worker gets far more work than its capacity while it warms up.
 pub fn slow_start(history: &[HistoryEvent], scenario: &Scenario) -> Vec<Violation> {
     let mut violations = Vec::new();
     let mut warm_ups: HashMap<usize, WarmUp> = HashMap::new();
@@ -107,7 +111,7 @@
                 let Some(warm_up) = warm_ups.get_mut(worker) else { continue };
                 warm_up.received.push((*at, *run_time));
                 if let Some(overload) = overload(warm_up, *at, scenario) {
-                    let description = format!("worker {worker}, {overload}");
+                    let description = format!("worker {worker}: {overload}");
                     violations.push(Violation { rule: SLOW_START, at: *at, description });
                     warm_up.received.clear();
                 }
@@ -118,25 +122,25 @@
     violations
 }
 
-/// Says by how much a worker that warms up has been overloaded, if it has.
+/// Describes the overload of a warming worker, if there is one.
 fn overload(warm_up: &WarmUp, now: Millis, scenario: &Scenario) -> Option<String> {
     let since = warm_up.started_at;
     let from = (now - SLOW_START_SPAN).max(since);
     let recent = warm_up.received.iter().filter(|(at, _)| *at > from);
     let work: Millis = recent.map(|(_, run_time)| run_time).sum();
     let capacity = capacity(scenario, from - since, now - since);
-    // Two run times of all slots more: a first job must not count as overload.
+    // Plus two run times on all slots, so that the first jobs do not count as overload.
     let allowed = SLOW_START_MULTIPLE * capacity + 2.0 * scenario.run_time * scenario.slots as f64;
     (work > allowed).then(|| {
         let age = now - since;
-        format!("started {age:.0} ms before, got {work:.0} ms of work at a capacity of {capacity:.0} ms")
+        format!("started {age:.0} ms ago, got {work:.0} ms of work for a capacity of {capacity:.0} ms")
     })
 }
 
-/// The work that a worker can do between two times after its start.
+/// The work that a worker can do between two times, both measured from its start.
 fn capacity(scenario: &Scenario, from: Millis, until: Millis) -> Millis {
     let (initial, warm_up) = (scenario.initial_capacity, scenario.warm_up.max(1.0));
-    // Capacity grows linearly until the warm-up is over; this is its integral from 0.
+    // Capacity grows linearly until the end of the warm-up; this is its integral from 0 to `t`.
     let integral = |t: Millis| {
         let warming = t.min(warm_up);
         initial * warming + (1.0 - initial) * warming * warming / (2.0 * warm_up) + (t - warming)
@@ -144,14 +148,16 @@
     (integral(until) - integral(from)) * scenario.slots as f64
 }
 
-/// No datagram between schedulers is longer than the limit.
+/// No datagram between schedulers exceeds [`MAX_MESSAGE_BYTES`].
 pub fn messages(history: &[HistoryEvent]) -> Vec<Violation> {
     let mut violations = Vec::new();
     for event in history {
         if let HistoryEvent::PeerMessage { at, scheduler, bytes } = event
             && *bytes > MAX_MESSAGE_BYTES
         {
-            let description = format!("scheduler {scheduler} sent a datagram of {bytes} bytes");
+            let description = format!(
+                "scheduler {scheduler} sent a datagram of {bytes} bytes, more than {MAX_MESSAGE_BYTES}"
+            );
             violations.push(Violation { rule: MESSAGES, at: *at, description });
         }
     }
@@ -167,19 +173,19 @@
 
 fn fenced_actions(history: &[HistoryEvent]) -> Vec<Violation> {
     let mut violations = Vec::new();
-    // The newest term of each action and subject, with its process.
+    // The newest term by action and subject, with the process that acted under it.
     let mut newest: HashMap<(&str, &str), (u64, usize)> = HashMap::new();
     for event in history {
         let HistoryEvent::FencedAction { at, action, subject, term, process } = event else { continue };
-        let known = newest.entry((action, subject)).or_insert((*term, *process));
-        if *term < known.0 || (*term == known.0 && *process != known.1) {
+        let latest = newest.entry((action, subject)).or_insert((*term, *process));
+        if *term < latest.0 || (*term == latest.0 && *process != latest.1) {
             let description = format!(
-                "{action} of {subject}: {process} under term {term}, after {} under term {}",
-                known.1, known.0
+                "{action} of {subject}: process {process} under term {term}, after process {} under term {}",
+                latest.1, latest.0
             );
             violations.push(Violation { rule: FENCING, at: *at, description });
         } else {
-            *known = (*term, *process);
+            *latest = (*term, *process);
         }
     }
     violations
@@ -196,7 +202,9 @@
         };
         let first = *holders.entry((*role, *term)).or_insert(*holder);
         if first != *holder {
-            let description = format!("role {role}: {holder} under term {term}, which is {first}'s");
+            let description = format!(
+                "role {role}: scheduler {holder} under term {term}, which belongs to scheduler {first}"
+            );
             violations.push(Violation { rule: FENCING, at: *at, description });
         }
     }
--- a/crates/test-cluster/src/checker/statistics.rs
+++ b/crates/test-cluster/src/checker/statistics.rs
@@ -1,4 +1,4 @@
-//! Counts of jobs, requests and messages, and latencies.
+//! Counts of jobs, requests and messages, and latencies of jobs.
 
 use super::observations::Observations;
 use super::report::{Latency, Report};
@@ -8,11 +8,12 @@
 use hdrhistogram::Histogram;
 use std::collections::HashMap;
 
-/// Latencies are recorded in microseconds, up to a minute, with three significant digits.
+/// Latencies are recorded in microseconds; longer ones count as this maximum of a minute.
 const MAX_LATENCY_US: u64 = 60_000_000;
+/// Precision of recorded latencies, in decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// Adds all of these to the report.
+/// Adds these counts and latencies to the report.
 pub fn add(report: &mut Report, history: &[HistoryEvent], observations: &Observations) {
     count_events(report, history);
     count_requests(report, observations);
--- a/crates/test-cluster/src/checker/takeover_statistics.rs
+++ b/crates/test-cluster/src/checker/takeover_statistics.rs
@@ -1,4 +1,4 @@
-//! What became of jobs whose scheduler was lost while they were in flight.
+//! Statistics of jobs whose scheduler was lost while they were in flight.
 
 use super::ANSWER_TOLERANCE;
 use super::fault_windows::FaultWindow;
@@ -8,7 +8,8 @@
 use crate::history::RequestEnd;
 use std::collections::BTreeSet;
 
-/// A job with less time left may end before anybody knows that its scheduler is gone.
+/// Minimum time left until its deadline for a job to count as in flight at a fault. With less, it may end
+/// before the other schedulers detect that its scheduler is gone.
 const MIN_TIME_LEFT: Millis = 2_000.0;
 
 /// Adds takeovers, and jobs in flight at a fault, to the report.
@@ -46,13 +47,13 @@
     report.repeated_takeovers += usize::from(others > 1);
 }
 
-/// The first fault of the process since the request was sent; infinite where there was none.
+/// Time of the first fault of the process since the request was sent; infinite if there was none.
 fn first_process_fault(windows: &[FaultWindow], request: &Request) -> Millis {
     let faults = windows.iter().filter(|window| window.is_process_fault() && request.sent_at <= window.from);
     faults.map(|window| window.from).fold(f64::INFINITY, f64::min)
 }
 
-/// Time from the fault until another scheduler sent an attempt.
+/// Time from the fault until another scheduler sent an attempt; `None` if none did.
 fn takeover_delay(request: &Request, fault_at: Millis) -> Option<Millis> {
     let mut attempts = request.attempts.iter();
     let taken_over =
