--- a/crates/daemon/tests/cluster.rs
+++ b/crates/daemon/tests/cluster.rs
@@ -46,7 +46,7 @@
     let checked = check(&outcome.history, &scenario);
     let verdict = checked.verdict(&scenario);
     let summary = report::summary(&scenario, &checked, &verdict);
-    assert!(verdict.passed(), "{summary}\n{} turns of the test cluster were late", outcome.late_turns);
+    assert!(verdict.passed(), "{summary}\n{} turns of the test cluster were late", outcome.slow_iterations);
     assert_eq!(outcome.crashed, [""; 0], "{summary}");
     // The checker must have observed the cluster at work, or its silence says nothing.
     assert!(checked.served.iter().all(|&served| served > MIN_SERVED), "{summary}");
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,7 +1,7 @@
 //! `brackenledge-simulator scenario`: plays scenarios of the test cluster, from files and drawn from seeds.
 
 use brackenledge_test_cluster::checker::{Report, Verdict};
-use brackenledge_test_cluster::cluster::LATE_TURN;
+use brackenledge_test_cluster::cluster::SLOW_ITERATION;
 use brackenledge_test_cluster::process::program_beside;
 use brackenledge_test_cluster::{
     Error, Outcome, Scenario, check, cluster, history, random_scenarios, report, run,
@@ -193,7 +193,7 @@
         outcome.cpu_ms / jobs,
         outcome.link_bytes as f64 / jobs
     );
-    println!("{} turns of the test cluster took over {LATE_TURN} ms", outcome.late_turns);
+    println!("{} turns of the test cluster took over {SLOW_ITERATION} ms", outcome.slow_iterations);
 }
 
 /// The files that a run leaves, by extension.
--- a/crates/test-cluster/src/cluster/connection.rs
+++ b/crates/test-cluster/src/cluster/connection.rs
@@ -1,4 +1,5 @@
-//! A proxied connection: the scheduler's socket on one side, a stand-in on the other, a pipe for each direction.
+//! A proxied connection: the scheduler's socket on one side, a stand-in on the other, and a pipe per
+//! direction.
 
 use crate::Millis;
 use crate::network_conditions::{NetworkConditions, Packet, Pipe};
@@ -12,104 +13,121 @@
 use std::net::Shutdown;
 use std::time::Duration;
 
-/// Bytes read from a socket at a time.
+/// Most bytes read from a socket by one call.
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// Which stand-in is at the far end.
+/// The kind of stand-in that handles a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum FarEnd {
-    /// The worker that [`Connection::far`] names.
+pub enum StandInKind {
+    /// The worker given by [`Connection::remote_node`].
     Worker,
-    /// Discovery.
+    /// The discovery service.
     Discovery,
     /// A client.
     Client,
-    /// The front proxy's health check.
+    /// A health check of the front proxy.
     HealthCheck,
-    /// A connection to another scheduler.
+    /// The relay to another scheduler.
     SchedulerLink,
 }
 
-/// Something to be recorded once the bytes before it have been written.
+/// A position in the bytes to a scheduler. It is reported, and recorded in the history, once all bytes before
+/// it have been written to the scheduler's socket.
 #[derive(Clone, Debug, PartialEq)]
 pub enum WriteMark {
-    /// A client's request.
+    /// The end of a client's request.
     Request {
-        /// Its job.
+        /// Index of the job.
         job: usize,
-        /// Its id.
+        /// Id of the request.
         request: String,
     },
-    /// An endpoint list that says of these workers that they accept nothing new.
+    /// The end of an endpoint list update in which these workers accept no new work.
     ClosedWorkers(Vec<usize>),
 }
 
-/// The socket's connection was refused or timed out.
+/// The connection attempt of the socket was refused or timed out.
 #[derive(Debug)]
 pub struct ConnectFailed;
 
-/// What has been read from a scheduler's socket.
+/// Why a read from a scheduler's socket returned no bytes.
 #[derive(Debug, PartialEq, Eq)]
-pub enum ReadEnd {
-    /// Nothing more for now.
-    Blocked,
-    /// The scheduler has ended its sending, or the connection.
+pub enum NoData {
+    /// No bytes are available now, the connection is not established yet, or its end has been returned
+    /// before.
+    WouldBlock,
+    /// The scheduler has closed its sending side, or the connection has failed.
     Ended,
 }
 
 /// A proxied connection.
 pub struct Connection {
     stream: TcpStream,
+    /// Token of the socket at the poll.
     pub token: Token,
-    /// The scheduler at its near end.
+    /// The scheduler whose side has the real socket.
     pub scheduler: usize,
-    /// The node at its far end.
-    pub far: Node,
-    pub far_end: FarEnd,
-    /// Its `connect` has not finished yet.
+    /// The node that the stand-in plays.
+    pub remote_node: Node,
+    pub stand_in_kind: StandInKind,
+    /// The proxy has called `connect` on the socket and it has not completed.
     pub is_opening: bool,
+    /// Traffic time at which the connection was added.
     pub opened_at: Millis,
-    /// A fault has reset it.
-    pub is_broken: bool,
-    /// Bytes that have arrived for the stand-in and that it has not used yet.
+    /// The test cluster has reset the connection, because of a fault.
+    pub was_reset: bool,
+    /// Bytes that have arrived for the stand-in and that it has not consumed yet.
     pub input: Vec<u8>,
-    /// When the first byte since the stand-in took this last left the scheduler.
+    /// Traffic time at which the scheduler sent the first byte since this value was last taken. The worker
+    /// stand-in takes it with each complete request.
     pub first_byte_at: Option<Millis>,
     from_scheduler: Pipe,
     to_scheduler: Pipe,
+    /// Bytes that have passed the pipe to the scheduler and are not written to the socket yet.
     output: Vec<u8>,
+    /// Close the sending side once `output` is written.
     ends_output: bool,
+    /// The socket has reported the end of the scheduler's bytes, or an error.
     input_ended: bool,
+    /// Bytes given to the pipe to the scheduler so far.
     pushed_bytes: u64,
+    /// Bytes written to the socket so far.
     written_bytes: u64,
-    /// By the number of bytes that must be written before.
+    /// Each mark with the value of `written_bytes` at which it is reached.
     marks: VecDeque<(u64, WriteMark)>,
 }
 
-/// What a connection is between.
+/// The two ends of a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Ends {
-    /// The scheduler at its near end.
+pub struct ConnectionEnds {
+    /// The scheduler whose side has the real socket.
     pub scheduler: usize,
-    /// The node at its far end.
-    pub far: Node,
-    /// The stand-in for that.
-    pub far_end: FarEnd,
+    /// The node that the stand-in plays.
+    pub remote_node: Node,
+    /// The stand-in that handles the connection.
+    pub stand_in_kind: StandInKind,
 }
 
 impl Connection {
-    /// A connection on a socket that is registered under this token.
-    pub fn new(stream: TcpStream, token: Token, ends: Ends, is_opening: bool, now: Millis) -> Connection {
-        let Ends { scheduler, far, far_end } = ends;
+    /// Creates a connection on a socket that is registered with the poll under `token`. `now` is traffic
+    /// time.
+    pub fn new(
+        stream: TcpStream,
+        token: Token,
+        ends: ConnectionEnds,
+        is_opening: bool,
+        now: Millis,
+    ) -> Connection {
+        let ConnectionEnds { scheduler, remote_node, stand_in_kind } = ends;
         Connection {
             stream,
             token,
             scheduler,
-            far,
-            far_end,
+            remote_node,
+            stand_in_kind,
             is_opening,
             opened_at: now,
-            is_broken: false,
+            was_reset: false,
             input: Vec::new(),
             first_byte_at: None,
             from_scheduler: Pipe::default(),
@@ -123,38 +141,39 @@
         }
     }
 
-    /// Its socket, for the poll.
+    /// The scheduler's socket, to be registered with the poll.
     pub fn stream(&mut self) -> &mut TcpStream {
         &mut self.stream
     }
 
-    /// The direction from the scheduler.
+    /// The link that carries bytes from the scheduler to the stand-in.
     pub fn link_from_scheduler(&self) -> Link {
-        Link::new(Node::Scheduler(self.scheduler), self.far)
+        Link::new(Node::Scheduler(self.scheduler), self.remote_node)
     }
 
-    /// The direction to the scheduler.
+    /// The link that carries bytes from the stand-in to the scheduler.
     pub fn link_to_scheduler(&self) -> Link {
         self.link_from_scheduler().reverse()
     }
 
-    /// Whether the scheduler sends nothing any more.
+    /// Whether the scheduler's socket has reported the end of its bytes, or an error.
     pub fn input_ended(&self) -> bool {
         self.input_ended
     }
 
-    /// Whether a request on it has not been written completely.
+    /// Whether a client's request has not been written completely to the socket.
     pub fn has_unwritten_request(&self) -> bool {
         self.marks.iter().any(|mark| matches!(mark.1, WriteMark::Request { .. }))
     }
 
-    /// The system sends a reset when the socket is closed.
+    /// Makes the kernel send a TCP reset when the socket is closed.
     pub fn reset_on_close(&mut self) {
-        // Fails only for a socket that has no connection any more.
+        // Fails only if the socket is no longer connected.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
-    /// A stand-in sends bytes, with what to record once they are written.
+    /// Puts bytes from the stand-in into the pipe to the scheduler. The mark is reached once they have been
+    /// written.
     pub fn push_to_scheduler(
         &mut self,
         now: Millis,
@@ -168,7 +187,7 @@
         self.to_scheduler.push(now, Packet::Bytes(bytes), conditions, rng);
     }
 
-    /// The scheduler has sent something.
+    /// Puts a packet from the scheduler into the pipe to the stand-in.
     pub fn push_from_scheduler(
         &mut self,
         now: Millis,
@@ -179,33 +198,34 @@
         self.from_scheduler.push(now, packet, conditions, rng);
     }
 
-    /// What has arrived for the stand-in.
+    /// Takes the next packet that has arrived for the stand-in.
     pub fn take_from_scheduler(&mut self, now: Millis, conditions: &NetworkConditions) -> Option<Packet> {
         self.from_scheduler.take(now, conditions)
     }
 
-    /// What has arrived for the scheduler.
+    /// Takes the next packet that has arrived for the scheduler.
     pub fn take_to_scheduler(&mut self, now: Millis, conditions: &NetworkConditions) -> Option<Packet> {
         self.to_scheduler.take(now, conditions)
     }
 
-    /// When something arrives next, in either direction.
+    /// Cluster time of the next arrival in either direction; `None` if nothing is in transit or it is held
+    /// back.
     pub fn next_arrival(&self, to: &NetworkConditions, from: &NetworkConditions) -> Option<Millis> {
         let next = [self.to_scheduler.next_arrival(to), self.from_scheduler.next_arrival(from)];
         next.into_iter().flatten().min_by(f64::total_cmp)
     }
 
-    /// Queues bytes for the socket.
+    /// Queues bytes to be written to the socket.
     pub fn extend_output(&mut self, bytes: &[u8]) {
         self.output.extend_from_slice(bytes);
     }
 
-    /// Ends the socket's sending after what is queued.
+    /// Closes the sending side of the socket once all queued bytes are written.
     pub fn end_output(&mut self) {
         self.ends_output = true;
     }
 
-    /// Writes what the socket takes; gives the marks that have been reached.
+    /// Writes as many queued bytes as the socket accepts, and returns the marks that have been reached.
     pub fn write(&mut self) -> Result<Vec<WriteMark>, ConnectFailed> {
         if self.is_opening {
             match self.stream.take_error() {
@@ -216,7 +236,7 @@
         }
         self.write_output();
         if self.ends_output && self.output.is_empty() {
-            // Fails only where the scheduler has ended the connection.
+            // Fails only if the scheduler has closed the connection.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         Ok(self.reached_marks())
@@ -230,7 +250,8 @@
                     self.written_bytes += count as u64;
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
-                // The socket is full, or has failed: then the next read reports it.
+                // Either the send buffer is full, or the socket has failed and the next read reports the
+                // error.
                 Err(_) => return,
             }
         }
@@ -244,18 +265,18 @@
         reached
     }
 
-    /// Reads the next bytes from the socket.
-    pub fn read(&mut self) -> Result<Vec<u8>, ReadEnd> {
+    /// Reads available bytes from the socket, at most [`READ_BUFFER_BYTES`].
+    pub fn read(&mut self) -> Result<Vec<u8>, NoData> {
         if self.input_ended || self.is_opening {
-            return Err(ReadEnd::Blocked);
+            return Err(NoData::WouldBlock);
         }
         let mut buffer = [0; READ_BUFFER_BYTES];
         match self.read_socket(&mut buffer) {
             Ok(count) if count > 0 => Ok(buffer[..count].to_vec()),
-            Err(error) if error.kind() == ErrorKind::WouldBlock => Err(ReadEnd::Blocked),
+            Err(error) if error.kind() == ErrorKind::WouldBlock => Err(NoData::WouldBlock),
             Ok(_) | Err(_) => {
                 self.input_ended = true;
-                Err(ReadEnd::Ended)
+                Err(NoData::Ended)
             }
         }
     }
--- a/crates/test-cluster/src/cluster/context.rs
+++ b/crates/test-cluster/src/cluster/context.rs
@@ -1,4 +1,4 @@
-//! What stand-ins and faults work on.
+//! The state that stand-ins and faults work on.
 
 use super::connection::WriteMark;
 use super::datagrams::DatagramProxy;
@@ -12,7 +12,7 @@
 use crate::stand_ins::clients::ClientPopulation;
 use crate::stand_ins::front_proxy::FrontProxy;
 
-/// Everything but the stand-ins' connections and the faults.
+/// The state of the cluster except the stand-ins' connections and the faults in effect.
 pub struct Context<'a> {
     pub scenario: &'a Scenario,
     pub runtime: Runtime,
@@ -25,19 +25,21 @@
 }
 
 impl Context<'_> {
-    /// A stand-in sends bytes on its connection.
+    /// Sends bytes from a stand-in to the scheduler.
     pub fn send(&mut self, id: ConnectionId, bytes: impl Into<Vec<u8>>) {
         self.network.send(&mut self.runtime, id, bytes.into(), None);
     }
 
-    /// A stand-in sends bytes on its connection, with what to record once they are written.
+    /// Sends bytes from a stand-in to the scheduler, and reports `mark` once they have been written to the
+    /// socket.
     pub fn send_marked(&mut self, id: ConnectionId, bytes: Vec<u8>, mark: WriteMark) {
         self.network.send(&mut self.runtime, id, bytes, Some(mark));
     }
 
-    /// Records what has been written.
+    /// Records the history events for a mark that has been written. `connected_at` is when its connection was
+    /// opened.
     pub fn record_written(&mut self, scheduler: usize, connected_at: f64, mark: WriteMark) {
-        let at = self.runtime.clock.since_start();
+        let at = self.runtime.clock.since_traffic_start();
         match mark {
             WriteMark::Request { job, request } => {
                 let deadline = self.clients.jobs[job].deadline;
--- a/crates/test-cluster/src/cluster/datagram_relay.rs
+++ b/crates/test-cluster/src/cluster/datagram_relay.rs
@@ -1,4 +1,4 @@
-//! Passes the schedulers' datagrams on, under the conditions of their links.
+//! Forwards datagrams between schedulers under the conditions of their links.
 
 use super::context::Context;
 use super::sources::DatagramRoute;
@@ -7,7 +7,8 @@
 use crate::scenario::{Link, Node};
 
 impl Context<'_> {
-    /// Passes on what a scheduler has sent, under the conditions of each link.
+    /// Forwards the datagrams that a scheduler has sent on a route, to each receiver under the conditions of
+    /// its link.
     pub fn relay_datagrams(&mut self, route: DatagramRoute) {
         let sender = self.supervisor.addresses(route.from).datagrams;
         while let Some(bytes) = self.datagrams.receive(route, sender) {
@@ -24,7 +25,7 @@
 
     fn relay_datagram(&mut self, from: usize, to: usize, bytes: &[u8]) {
         let clock = self.runtime.clock;
-        let at = clock.since_start();
+        let at = clock.since_traffic_start();
         self.runtime.record(HistoryEvent::PeerMessage { at, scheduler: from, bytes: bytes.len() });
         let link = Link::new(Node::Scheduler(from), Node::Scheduler(to));
         let conditions = self.network.conditions(link);
@@ -39,14 +40,14 @@
         }
     }
 
-    /// A datagram arrives at its receiver.
+    /// Delivers a datagram to its receiver, and records what it shows of role leases.
     pub fn deliver_datagram(&mut self, from: usize, to: usize, bytes: &[u8]) {
         self.observe_roles(from, Some(to), bytes);
         self.datagrams.deliver(from, to, bytes, self.supervisor.addresses(to).datagrams);
     }
 
     fn observe_roles(&mut self, from: usize, receiver: Option<usize>, bytes: &[u8]) {
-        let at = self.runtime.clock.since_start();
+        let at = self.runtime.clock.since_traffic_start();
         let events = self.roles.observe(at, from, receiver, bytes);
         self.runtime.history.extend(events);
     }
--- a/crates/test-cluster/src/cluster/datagrams.rs
+++ b/crates/test-cluster/src/cluster/datagrams.rs
@@ -1,4 +1,5 @@
-//! The proxy's datagrams: each scheduler has a socket of the proxy for each other scheduler, and one for all of them.
+//! The proxy's datagram sockets: for each scheduler, one per other scheduler and one for broadcasts to all of
+//! them.
 
 use super::listener::any_loopback_port;
 use super::runtime::Runtime;
@@ -9,17 +10,17 @@
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
 
-/// More than the longest datagram of a scheduler.
+/// Size of the receive buffer; longer than any datagram that a scheduler sends.
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// The sockets on which datagrams are received, and from which they are delivered.
+/// The sockets that receive the schedulers' datagrams and from which these are delivered.
 #[derive(Default)]
 pub struct DatagramProxy {
     sockets: HashMap<DatagramRoute, UdpSocket>,
 }
 
 impl DatagramProxy {
-    /// Opens the socket of a route.
+    /// Opens the socket of a route and registers it with the poll.
     pub fn open(&mut self, runtime: &mut Runtime, route: DatagramRoute) -> io::Result<()> {
         let mut socket = UdpSocket::bind(any_loopback_port())?;
         runtime.sources.register(&mut socket, Interest::READABLE, Source::Datagrams(route))?;
@@ -27,12 +28,12 @@
         Ok(())
     }
 
-    /// The address to which a scheduler sends datagrams of a route; `None`: it has no socket.
+    /// The address to which a scheduler sends datagrams of a route; `None` if the route has no socket.
     pub fn address(&self, route: DatagramRoute) -> Option<io::Result<SocketAddr>> {
         self.sockets.get(&route).map(UdpSocket::local_addr)
     }
 
-    /// The next datagram that the scheduler with this address has sent.
+    /// Receives the next datagram of a route. Datagrams that do not come from `sender` are dropped.
     pub fn receive(&self, route: DatagramRoute, sender: SocketAddr) -> Option<Vec<u8>> {
         let socket = self.sockets.get(&route)?;
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
@@ -46,17 +47,19 @@
         }
     }
 
-    /// Sends a datagram to its receiver, from the socket that this knows as the sender's.
+    /// Sends a datagram to `receiver` from the socket that the receiving scheduler knows as the sender's
+    /// address.
     pub fn deliver(&self, from: usize, to: usize, bytes: &[u8], receiver: SocketAddr) {
-        let back = DatagramRoute { from: to, to: Some(from) };
-        if let Some(socket) = self.sockets.get(&back) {
-            // A receiver that is down loses it.
+        let reverse_route = DatagramRoute { from: to, to: Some(from) };
+        if let Some(socket) = self.sockets.get(&reverse_route) {
+            // If the receiver is down, the datagram is lost.
             let _ = socket.send_to(bytes, receiver);
         }
     }
 }
 
-/// An interrupted call, or the report that an earlier datagram found no receiver.
+/// Whether receiving can be retried: the call was interrupted, or reported that an earlier datagram had no
+/// receiver.
 fn is_transient(error: &io::Error) -> bool {
     matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::Interrupted)
 }
--- a/crates/test-cluster/src/cluster/descriptor_limit.rs
+++ b/crates/test-cluster/src/cluster/descriptor_limit.rs
@@ -1,13 +1,13 @@
-//! The limit on the test cluster's own file descriptors.
+//! Raises the limit on open file descriptors of the test cluster's own process.
 
 use crate::Error;
 use crate::scenario::Scenario;
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 
-/// Descriptors for the poll, files and pipes.
+/// Descriptors for the poll, files and pipes, on top of those counted per node and connection.
 const SPARE_DESCRIPTORS: u64 = 64;
 
-/// Raises the limit as far as the scenario needs it, and fails where that is not allowed.
+/// Raises the soft limit to what the scenario needs, and fails if that exceeds the hard limit.
 pub fn raise(scenario: &Scenario) -> Result<(), Error> {
     let needed = needed(scenario);
     let limit = getrlimit(Resource::Nofile);
@@ -23,7 +23,7 @@
         .map_err(|error| Error::Io { operation: "raising the limit on descriptors", source: error.into() })
 }
 
-/// An upper estimate.
+/// An upper estimate of the descriptors that the scenario needs.
 fn needed(scenario: &Scenario) -> u64 {
     let (schedulers, workers) = (scenario.schedulers as u64, scenario.workers as u64);
     let listeners = schedulers * (workers + 1);
--- a/crates/test-cluster/src/cluster/discovery_stand_in.rs
+++ b/crates/test-cluster/src/cluster/discovery_stand_in.rs
@@ -1,4 +1,5 @@
-//! Discovery's connections: polls and watches of the endpoint list, and what it does when it is overloaded.
+//! Plays discovery: answers polls and watches of the endpoint list, and queues requests while it is
+//! overloaded.
 
 use super::connection::{Connection, WriteMark};
 use super::context::Context;
@@ -11,51 +12,52 @@
 use crate::{ConnectionId, Millis};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Watches get an empty line this often.
+/// Interval between the empty lines sent on each watch as a keep-alive.
 const KEEP_ALIVE_INTERVAL: Millis = 2_000.0;
 
-/// Overloaded, discovery rejects a request that has waited for so long.
+/// While overloaded, discovery rejects a request that has been queued for longer than this.
 const MAX_QUEUE_TIME: Millis = 3_000.0;
 
-/// A request that waits for overloaded discovery.
+/// A request queued while discovery is overloaded.
 struct QueuedRequest {
     received_at: Millis,
     connection: ConnectionId,
     request: http::Request,
 }
 
-/// The endpoint list, and the watches of it.
+/// The endpoint list and the connections that watch it.
 pub struct DiscoveryStandIn {
     pub list: EndpointList,
-    /// Connections are refused.
+    /// During an outage, new connections are refused.
     pub is_down: bool,
-    /// The revision that each watch has got last.
+    /// The revision last sent on each watch.
     watches: BTreeMap<ConnectionId, u64>,
-    /// Watches that have fallen silent: what they would be sent is lost.
-    silent: BTreeSet<ConnectionId>,
-    /// Time between two requests that overloaded discovery answers, while it is.
+    /// Watches that a fault has silenced: they stay open, but nothing more is sent on them.
+    silenced: BTreeSet<ConnectionId>,
+    /// Time between two responses while discovery is overloaded; `None` when it is not.
     service_interval: Option<Millis>,
     queue: VecDeque<QueuedRequest>,
-    /// Workers that accept nothing new by the list that is served.
+    /// Workers that accept no new work according to the list last announced.
     listed_closed: BTreeSet<usize>,
 }
 
 impl DiscoveryStandIn {
-    /// A list of workers that have been ready for long.
+    /// Creates a discovery whose list has all workers of the scenario as ready.
     pub fn new(scenario: &Scenario) -> DiscoveryStandIn {
         let list = EndpointList::new(scenario.workers);
         DiscoveryStandIn {
             list,
             is_down: false,
             watches: BTreeMap::new(),
-            silent: BTreeSet::new(),
+            silenced: BTreeSet::new(),
             service_interval: None,
             queue: VecDeque::new(),
             listed_closed: BTreeSet::new(),
         }
     }
 
-    /// A worker has changed. `started_at` is Unix time where it has just started.
+    /// Changes the status of a worker, to be announced after the list's delay. `started_at` is Unix time in
+    /// milliseconds if the worker has just started, and `None` otherwise.
     pub fn change(
         &mut self,
         context: &mut Context,
@@ -69,25 +71,26 @@
         }
     }
 
-    /// Announces the changes that are due.
+    /// Applies the changes that are due, and announces the new list.
     pub fn handle_timeout(&mut self, context: &mut Context) {
         if self.list.apply_due(context.runtime.clock.now()) {
             self.announce_list(context);
         }
     }
 
-    /// Open watches get nothing more, and stay open.
+    /// Sends nothing more on the watches that are open now, and keeps them open.
     pub fn silence_watches(&mut self) {
-        self.silent.extend(self.watches.keys());
+        self.silenced.extend(self.watches.keys());
     }
 
-    /// Answers so many requests a second from now on; `None`: all of them at once.
+    /// Limits the requests answered per second from now on; `None` removes the limit.
     pub fn set_capacity(&mut self, context: &mut Context, requests_per_s: Option<f64>) {
         self.service_interval = requests_per_s.map(|rate| 1_000.0 / rate);
         context.runtime.schedule_after(self.service_interval.unwrap_or(0.0), Timer::DiscoveryRequest);
     }
 
-    /// Answers the request that has waited for longest, or all of them where discovery is not overloaded any more.
+    /// Answers the oldest queued request, or all of them if discovery is no longer overloaded. Requests that
+    /// have been queued for too long are rejected.
     pub fn serve_next(&mut self, context: &mut Context) {
         let now = context.runtime.clock.now();
         while let Some(QueuedRequest { received_at, connection, request }) = self.queue.pop_front() {
@@ -108,9 +111,10 @@
         }
     }
 
-    /// Records what the list that is served says now, and sends each watch what is new to it.
+    /// Records the workers that newly accept no work according to the list, and sends the list's changes on
+    /// each watch.
     pub fn announce_list(&mut self, context: &mut Context) {
-        let at = context.runtime.clock.since_start();
+        let at = context.runtime.clock.since_traffic_start();
         let closed: BTreeSet<usize> = self.list.closed_workers().collect();
         for &worker in closed.difference(&self.listed_closed) {
             context.runtime.record(HistoryEvent::DrainListed { at, worker });
@@ -121,21 +125,23 @@
 
     fn send_updates(&mut self, context: &mut Context) {
         let revision = self.list.revision();
-        for (&id, known) in self.watches.iter_mut().filter(|(id, _)| !self.silent.contains(id)) {
-            let Some(connection) = context.network.get(id).filter(|_| *known != revision) else { continue };
-            let update = updates_since(&self.list, context, connection.scheduler, *known);
-            *known = revision;
+        for (&id, known_revision) in self.watches.iter_mut().filter(|(id, _)| !self.silenced.contains(id)) {
+            let Some(connection) = context.network.get(id).filter(|_| *known_revision != revision) else {
+                continue;
+            };
+            let update = updates_since(&self.list, context, connection.scheduler, *known_revision);
+            *known_revision = revision;
             let mark = WriteMark::ClosedWorkers(update.closed_workers);
             context.send_marked(id, http::json_chunk(&update.document), mark);
         }
     }
 
-    /// Answers a poll, or a watch with what has changed since the revision that it names.
+    /// Answers a poll with the complete list, or a watch with the changes since the revision that it names.
     fn respond(&mut self, context: &mut Context, id: ConnectionId, request: &http::Request) {
         let Some(scheduler) = context.network.get(id).map(|connection| connection.scheduler) else { return };
         let is_watch = request.query("follow") == Some("1");
-        let known = request.query("since").and_then(|revision| revision.parse().ok()).unwrap_or(0);
-        let update = updates_since(&self.list, context, scheduler, if is_watch { known } else { 0 });
+        let known_revision = request.query("since").and_then(|revision| revision.parse().ok()).unwrap_or(0);
+        let update = updates_since(&self.list, context, scheduler, if is_watch { known_revision } else { 0 });
         let response = if is_watch {
             self.watches.insert(id, self.list.revision());
             [http::CHUNKED_HEAD, &http::json_chunk(&update.document)].concat()
@@ -145,16 +151,16 @@
         context.send_marked(id, response, WriteMark::ClosedWorkers(update.closed_workers));
     }
 
-    /// Sends each watch an empty line, and schedules the next ones.
+    /// Sends an empty line on each watch, and schedules the next round.
     pub fn send_keep_alives(&mut self, context: &mut Context) {
-        for &id in self.watches.keys().filter(|id| !self.silent.contains(id)) {
+        for &id in self.watches.keys().filter(|id| !self.silenced.contains(id)) {
             context.send(id, http::EMPTY_LINE_CHUNK);
         }
         context.runtime.schedule_after(KEEP_ALIVE_INTERVAL, Timer::WatchKeepAlive);
     }
 }
 
-/// What has changed since a revision, with the addresses that a scheduler knows.
+/// The list's changes since a revision, with the proxy addresses at which a scheduler reaches the workers.
 fn updates_since(list: &EndpointList, context: &Context, scheduler: usize, revision: u64) -> ListUpdate {
     let address = |worker| {
         let address = context.network.listener_address(scheduler, Node::Worker(worker));
@@ -178,6 +184,6 @@
 
     fn handle_end(&mut self, _context: &mut Context, id: ConnectionId, _connection: Connection) {
         self.watches.remove(&id);
-        self.silent.remove(&id);
+        self.silenced.remove(&id);
     }
 }
--- a/crates/test-cluster/src/cluster/event_loop.rs
+++ b/crates/test-cluster/src/cluster/event_loop.rs
@@ -1,8 +1,9 @@
-//! The event loop: waits for sockets, logs and timers, and hands each event to the part that it is for.
+//! The event loop: waits for sockets, logs and timers, and dispatches each event to the module that handles
+//! it.
 
 use super::active_faults::ActiveFaults;
 use super::client_stand_in::ClientStandIn;
-use super::connection::{Connection, Ends, FarEnd};
+use super::connection::{Connection, ConnectionEnds, StandInKind};
 use super::context::Context;
 use super::discovery_stand_in::DiscoveryStandIn;
 use super::health_checks::{HEALTH_CHECK_INTERVAL, HealthChecks};
@@ -13,7 +14,7 @@
 use super::stand_in::StandIn;
 use super::timers::Timer;
 use super::worker_stand_in::WorkerStandIn;
-use super::{LATE_TURN, Options, Outcome};
+use super::{Options, Outcome, SLOW_ITERATION};
 use crate::scenario::{Node, Scenario};
 use crate::{ConnectionId, Error, Millis, StartState};
 use mio::net::TcpStream;
@@ -22,18 +23,18 @@
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
 
-/// A cluster that is not up after this never will be.
+/// The run fails if the cluster is not ready after this time.
 const START_TIMEOUT: Millis = 20_000.0;
-/// The loop looks at least this often whether it is to stop.
-const MAX_WAIT: Millis = 50.0;
-/// Events taken from the poll at a time.
+/// Longest wait for events, which bounds the delay until the loop notices a request to stop.
+const MAX_POLL_WAIT: Millis = 50.0;
+/// Capacity for the events returned by one call of the poll.
 const MAX_EVENTS: usize = 1_024;
-/// What a scheduler's `INFO` says once its jobs are replicated.
+/// Line in a scheduler's reply to `INFO` once its jobs are replicated.
 const REPLICATION_READY: &str = "handover.settled=1";
-/// The names of failover's figures begin with it.
-const FAILOVER_FIGURES: &str = "handover.";
+/// Contained in the names of failover metrics in replies to `INFO`.
+const FAILOVER_METRICS: &str = "handover.";
 
-/// A cluster and all around it.
+/// A running cluster: the shared state, the stand-ins, and the faults in effect.
 pub struct Cluster<'a> {
     pub context: Context<'a>,
     pub workers: WorkerStandIn,
@@ -44,25 +45,25 @@
     pub faults: ActiveFaults,
     options: &'a Options,
     poll: Poll,
-    late_turns: usize,
-    cpu_at_start: f64,
-    /// When schedulers were asked last whether jobs are replicated.
+    slow_iterations: usize,
+    cpu_ms_at_traffic_start: f64,
+    /// Cluster time at which the schedulers were last asked whether their jobs are replicated.
     replication_checked_at: Millis,
-    /// The files of the run; removed with it.
-    _folder: tempfile::TempDir,
+    /// The directory with the run's files, removed on drop.
+    _run_dir: tempfile::TempDir,
 }
 
 impl<'a> Cluster<'a> {
-    /// Makes sockets and files; starts nothing yet.
+    /// Opens the sockets and writes the files, but starts no process yet.
     pub fn new(scenario: &'a Scenario, options: &'a Options) -> Result<Cluster<'a>, Error> {
-        let folder = tempfile::Builder::new()
+        let run_dir = tempfile::Builder::new()
             .prefix("brackenledge-test-cluster-")
             .tempdir()
-            .map_err(Error::io("a folder for the run"))?;
-        let poll = Poll::new().map_err(Error::io("poll"))?;
-        let registry = poll.registry().try_clone().map_err(Error::io("poll"))?;
-        let context = setup::build(scenario, options, Sources::new(registry), folder.path())
-            .map_err(Error::io("the cluster's sockets and files"))?;
+            .map_err(Error::io("creating the run's temporary directory"))?;
+        let poll = Poll::new().map_err(Error::io("creating the poll"))?;
+        let registry = poll.registry().try_clone().map_err(Error::io("cloning the poll's registry"))?;
+        let context = setup::build(scenario, options, Sources::new(registry), run_dir.path())
+            .map_err(Error::io("creating the cluster's sockets and files"))?;
         Ok(Cluster {
             context,
             workers: WorkerStandIn::new(scenario),
@@ -73,14 +74,14 @@
             faults: ActiveFaults::default(),
             options,
             poll,
-            late_turns: 0,
-            cpu_at_start: 0.0,
+            slow_iterations: 0,
+            cpu_ms_at_traffic_start: 0.0,
             replication_checked_at: 0.0,
-            _folder: folder,
+            _run_dir: run_dir,
         })
     }
 
-    /// Starts the processes, and runs until all jobs and faults are over.
+    /// Starts the processes and runs until all jobs have ended and no fault is left to end.
     pub fn run(&mut self) -> Result<(), Error> {
         for scheduler in 0..self.context.scenario.schedulers {
             let slot = ProcessSlot { scheduler, kind: ProcessKind::Primary };
@@ -91,7 +92,7 @@
         self.discovery.send_keep_alives(&mut self.context);
         let mut events = Events::with_capacity(MAX_EVENTS);
         while !self.is_finished() {
-            self.turn(&mut events)?;
+            self.run_iteration(&mut events)?;
             if !self.context.runtime.clock.has_traffic() && self.is_ready() {
                 self.start_traffic();
             }
@@ -99,14 +100,14 @@
         Ok(())
     }
 
-    /// Waits for events, and handles them and the timers that are due.
-    fn turn(&mut self, events: &mut Events) -> Result<(), Error> {
+    /// Waits for events, then handles them and the timers that are due.
+    fn run_iteration(&mut self, events: &mut Events) -> Result<(), Error> {
         if self.options.stop.as_ref().is_some_and(|stop| stop.load(Ordering::Relaxed)) {
             return Err(Error::Interrupted);
         }
         match self.poll.poll(events, Some(self.time_to_next_timer())) {
             Err(source) if source.kind() != ErrorKind::Interrupted => {
-                return Err(Error::Io { operation: "poll", source });
+                return Err(Error::Io { operation: "polling for events", source });
             }
             _ => {}
         }
@@ -121,16 +122,16 @@
             self.handle_timer(timer);
             self.dispatch_network_events();
         }
-        if began.elapsed().as_secs_f64() * 1_000.0 > LATE_TURN {
-            self.late_turns += 1;
+        if began.elapsed().as_secs_f64() * 1_000.0 > SLOW_ITERATION {
+            self.slow_iterations += 1;
         }
         self.context.runtime.take_failure().map_or(Ok(()), Err)
     }
 
     fn time_to_next_timer(&self) -> Duration {
         let runtime = &self.context.runtime;
-        let wait = runtime.timers.next_due().map_or(MAX_WAIT, |due| due - runtime.clock.now());
-        Duration::from_secs_f64(wait.clamp(0.0, MAX_WAIT) / 1_000.0)
+        let wait = runtime.timers.next_due().map_or(MAX_POLL_WAIT, |due| due - runtime.clock.now());
+        Duration::from_secs_f64(wait.clamp(0.0, MAX_POLL_WAIT) / 1_000.0)
     }
 
     fn next_due_timer(&mut self) -> Option<Timer> {
@@ -142,12 +143,13 @@
         self.clients.is_finished() && !self.faults.has_unfinished()
     }
 
-    /// Whether all schedulers serve, and replicate jobs where they are to.
+    /// Whether all schedulers serve clients and, if the scenario asks for failover, replicate jobs.
     fn is_ready(&mut self) -> bool {
         self.context.front_proxy.all_up() && self.is_replication_ready()
     }
 
-    /// A cluster takes some seconds to agree on its members.
+    /// Whether all schedulers report that they replicate jobs. They do so only after agreeing on the member
+    /// list, which takes some seconds, so they are asked at intervals.
     fn is_replication_ready(&mut self) -> bool {
         if self.context.scenario.failover.is_none() {
             return true;
@@ -162,18 +164,18 @@
             && replies.iter().all(|reply| reply.text.contains(REPLICATION_READY))
     }
 
-    /// The cluster is up: traffic and the faults' clock begin.
+    /// Starts the traffic and schedules the faults, once the cluster is ready.
     fn start_traffic(&mut self) {
         let Context { scenario, runtime, supervisor, .. } = &mut self.context;
         runtime.clock.start_traffic();
-        self.cpu_at_start = supervisor.cpu_ms();
-        // What happened during the start is not part of the run.
+        self.cpu_ms_at_traffic_start = supervisor.cpu_ms();
+        // Events from the start-up phase are not judged.
         runtime.history.clear();
-        runtime.timers.schedule(runtime.clock.time_of(0.0), Timer::NextJob);
+        runtime.timers.schedule(runtime.clock.cluster_time_of(0.0), Timer::NextJob);
         for (number, fault) in scenario.faults.iter().enumerate() {
-            runtime.timers.schedule(runtime.clock.time_of(fault.at), Timer::FaultBegins(number));
+            runtime.timers.schedule(runtime.clock.cluster_time_of(fault.at), Timer::FaultBegins(number));
             if let Some(until) = fault.until {
-                runtime.timers.schedule(runtime.clock.time_of(until), Timer::FaultEnds(number));
+                runtime.timers.schedule(runtime.clock.cluster_time_of(until), Timer::FaultEnds(number));
             }
         }
     }
@@ -199,19 +201,24 @@
         }
     }
 
-    /// A scheduler has connected to one of the proxy's listeners.
+    /// Handles a connection that a scheduler has opened to one of the proxy's listeners.
     pub fn handle_connection(&mut self, listener: usize, stream: TcpStream) {
         let context = &mut self.context;
-        let (scheduler, far) =
-            (context.network.listeners[listener].scheduler, context.network.listeners[listener].far);
-        let far_end = match far {
+        let (scheduler, remote_node) =
+            (context.network.listeners[listener].scheduler, context.network.listeners[listener].remote_node);
+        let stand_in_kind = match remote_node {
             Node::Scheduler(other) => {
                 return self.links.handle_connection(context, stream, scheduler, other);
             }
-            Node::Worker(_) => FarEnd::Worker,
-            _ => FarEnd::Discovery,
+            Node::Worker(_) => StandInKind::Worker,
+            _ => StandInKind::Discovery,
         };
-        context.network.add(&mut context.runtime, stream, Ends { scheduler, far, far_end }, false);
+        context.network.add(
+            &mut context.runtime,
+            stream,
+            ConnectionEnds { scheduler, remote_node, stand_in_kind },
+            false,
+        );
     }
 
     fn handle_timer(&mut self, timer: Timer) {
@@ -237,7 +244,7 @@
         }
     }
 
-    /// Fails the run unless all schedulers have come up.
+    /// Fails the run if traffic has not started, with the state of each scheduler.
     fn check_start(&mut self) {
         if !self.context.runtime.clock.has_traffic() {
             let schedulers = self.start_states();
@@ -250,9 +257,9 @@
         let Context { scenario, supervisor, front_proxy, .. } = &self.context;
         let replies = supervisor.call_admin_endpoints("INFO");
         let reply_of = |number: usize| replies.iter().find(|reply| reply.scheduler == number);
-        let failover_figures = |number: usize| {
-            let figures = reply_of(number)?.text.lines().filter(|line| line.contains(FAILOVER_FIGURES));
-            Some(figures.collect::<Vec<_>>().join(" "))
+        let failover_metrics = |number: usize| {
+            let metrics = reply_of(number)?.text.lines().filter(|line| line.contains(FAILOVER_METRICS));
+            Some(metrics.collect::<Vec<_>>().join(" "))
         };
         let is_replicating = |number: usize| {
             scenario.failover.is_none()
@@ -263,12 +270,13 @@
             is_serving: supervisor.is_serving(scheduler),
             is_up: front_proxy.is_up(scheduler),
             is_replicating: is_replicating(scheduler),
-            failover: failover_figures(scheduler),
+            failover: failover_metrics(scheduler),
         };
         (0..scenario.schedulers).map(state).collect()
     }
 
-    /// Hands what happened on connections to their stand-ins, until nothing more happens.
+    /// Dispatches network events to the stand-ins until none is left, including those caused by the
+    /// stand-ins' own reactions.
     pub fn dispatch_network_events(&mut self) {
         while let Some(event) = self.context.network.poll_event() {
             match event {
@@ -288,33 +296,33 @@
     fn handle_bytes(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.context.network.get_mut(id) else { return };
         connection.input.extend_from_slice(bytes);
-        let far_end = connection.far_end;
-        let (stand_in, context) = self.stand_in(far_end);
+        let stand_in_kind = connection.stand_in_kind;
+        let (stand_in, context) = self.stand_in_for(stand_in_kind);
         stand_in.handle_input(context, id);
     }
 
     fn handle_end(&mut self, id: ConnectionId, connection: Connection) {
-        let (stand_in, context) = self.stand_in(connection.far_end);
+        let (stand_in, context) = self.stand_in_for(connection.stand_in_kind);
         stand_in.handle_end(context, id, connection);
     }
 
-    fn stand_in(&mut self, far_end: FarEnd) -> (&mut dyn StandIn, &mut Context<'a>) {
-        let stand_in: &mut dyn StandIn = match far_end {
-            FarEnd::Worker => &mut self.workers,
-            FarEnd::Discovery => &mut self.discovery,
-            FarEnd::Client => &mut self.clients,
-            FarEnd::HealthCheck => &mut self.health_checks,
-            FarEnd::SchedulerLink => &mut self.links,
+    fn stand_in_for(&mut self, stand_in_kind: StandInKind) -> (&mut dyn StandIn, &mut Context<'a>) {
+        let stand_in: &mut dyn StandIn = match stand_in_kind {
+            StandInKind::Worker => &mut self.workers,
+            StandInKind::Discovery => &mut self.discovery,
+            StandInKind::Client => &mut self.clients,
+            StandInKind::HealthCheck => &mut self.health_checks,
+            StandInKind::SchedulerLink => &mut self.links,
         };
         (stand_in, &mut self.context)
     }
 
-    /// What the run came to. Ends all processes.
+    /// Returns the outcome of the run and ends all processes.
     pub fn into_outcome(self) -> Outcome {
-        let Cluster { context, links, late_turns, cpu_at_start, .. } = self;
+        let Cluster { context, links, slow_iterations, cpu_ms_at_traffic_start, .. } = self;
         let supervisor = context.supervisor;
         Outcome {
-            cpu_ms: supervisor.cpu_ms() - cpu_at_start,
+            cpu_ms: supervisor.cpu_ms() - cpu_ms_at_traffic_start,
             role_replies: supervisor.call_admin_endpoints("DUTIES"),
             info_replies: supervisor.call_admin_endpoints("INFO"),
             member_replies: supervisor.call_admin_endpoints("MEMBERS"),
@@ -323,7 +331,7 @@
             process_ids: supervisor.process_ids,
             log: supervisor.log,
             link_bytes: links.bytes,
-            late_turns,
+            slow_iterations,
         }
     }
 }
--- a/crates/test-cluster/src/cluster/fault_injector.rs
+++ b/crates/test-cluster/src/cluster/fault_injector.rs
@@ -1,4 +1,4 @@
-//! Faults: what a scenario's file asks for, done to processes, links, workers, discovery and clients.
+//! Applies a scenario's faults to processes, links, workers, discovery and clients.
 
 use super::connection::Connection;
 use super::context::Context;
@@ -12,8 +12,9 @@
 use rustix::process::Signal;
 use std::collections::BTreeSet;
 
-/// Clients of a scheduler whose connections were broken may miss answers for this long.
-const BROKEN_CONNECTIONS_EFFECT: Millis = 500.0;
+/// After a reset or half-close of client connections, missing responses from their scheduler are excused for
+/// this long.
+const BROKEN_CONNECTION_GRACE: Millis = 500.0;
 
 /// Whether a fault begins or ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -23,7 +24,7 @@
 }
 
 impl Phase {
-    /// A value for the time of the fault, and the normal one after it.
+    /// Returns `during` when the fault begins, and `normal` when it ends.
     pub fn select<T>(self, during: T, normal: T) -> T {
         match self {
             Phase::Begin => during,
@@ -33,7 +34,7 @@
 }
 
 impl Cluster<'_> {
-    /// Begins a fault of the scenario.
+    /// Begins the scenario's fault with this index, with the lease holder and the leader resolved as of now.
     pub fn begin_fault(&mut self, number: usize) {
         let fault = &self.context.scenario.faults[number];
         let roles = &self.context.roles;
@@ -42,7 +43,7 @@
         self.apply(number, &action, Phase::Begin);
     }
 
-    /// Ends a fault of the scenario.
+    /// Ends the scenario's fault with this index, if it has begun.
     pub fn end_fault(&mut self, number: usize) {
         if let Some(action) = self.faults.end(number) {
             self.apply(number, &action, Phase::End);
@@ -104,16 +105,16 @@
 
     fn reset_connections(&mut self, links: &[Link]) {
         self.record_broken_connections(links);
-        for id in self.context.network.ids(|connection| is_on(connection, links)) {
+        for id in self.context.network.ids(|connection| uses_any_link(connection, links)) {
             self.context.network.reset(id);
         }
     }
 
-    /// The sending side of each link ends; the other direction goes on.
+    /// Closes each connection in the direction of its link; the other direction stays open.
     fn half_close_connections(&mut self, links: &[Link]) {
         self.record_broken_connections(links);
         let context = &mut self.context;
-        for id in context.network.ids(|connection| is_on(connection, links)) {
+        for id in context.network.ids(|connection| uses_any_link(connection, links)) {
             let ends_from_scheduler = (context.network.get(id))
                 .is_some_and(|connection| links.contains(&connection.link_from_scheduler()));
             if ends_from_scheduler {
@@ -125,11 +126,12 @@
     }
 
     fn record_broken_connections(&mut self, links: &[Link]) {
-        let until = self.context.runtime.clock.since_start() + BROKEN_CONNECTIONS_EFFECT;
+        let until = self.context.runtime.clock.since_traffic_start() + BROKEN_CONNECTION_GRACE;
         self.record_cut_off_clients(links, until);
     }
 
-    /// What clients of these links can't receive is not held against their schedulers.
+    /// Records until when clients cannot receive responses over these links, so that the checker does not
+    /// count missing responses as violations by the schedulers.
     fn record_cut_off_clients(&mut self, links: &[Link], until: Millis) {
         let scheduler = |link: &Link| match (link.from, link.to) {
             (Node::Clients(_), Node::Scheduler(number)) | (Node::Scheduler(number), Node::Clients(_)) => {
@@ -138,14 +140,15 @@
             _ => None,
         };
         let schedulers: BTreeSet<usize> = links.iter().filter_map(scheduler).collect();
-        let at = self.context.runtime.clock.since_start();
+        let at = self.context.runtime.clock.since_traffic_start();
         let until = until + ANSWER_TOLERANCE;
         for scheduler in schedulers {
             self.context.runtime.record(HistoryEvent::ClientsCutOff { at, until, scheduler });
         }
     }
 
-    /// What discovery can't send on these links is not held against their schedulers meanwhile.
+    /// Records until when discovery cannot be reached over these links, so that the checker does not hold
+    /// schedulers to updates that they could not receive.
     fn record_cut_off_from_discovery(&mut self, links: &[Link], until: Millis) {
         let scheduler = |link: &Link| match (link.from, link.to) {
             (Node::Discovery, Node::Scheduler(number)) | (Node::Scheduler(number), Node::Discovery) => {
@@ -154,7 +157,7 @@
             _ => None,
         };
         let schedulers: BTreeSet<usize> = links.iter().filter_map(scheduler).collect();
-        let at = self.context.runtime.clock.since_start();
+        let at = self.context.runtime.clock.since_traffic_start();
         for scheduler in schedulers {
             self.context.runtime.record(HistoryEvent::DiscoveryUnreachable { at, until, scheduler });
         }
@@ -165,7 +168,7 @@
     fn apply_to_node(&mut self, action: &FaultAction, node: Node, phase: Phase) {
         match node {
             Node::Scheduler(number) => self.apply_to_scheduler(action, number, phase),
-            // The action can only be a kill.
+            // Of the actions applied here, only a kill may target workers.
             Node::Worker(number) if phase == Phase::Begin => self.kill_worker(number),
             Node::Worker(number) => self.start_worker(number),
             _ => {}
@@ -180,21 +183,21 @@
             (FaultAction::Kill(_), Phase::Begin) => supervisor.kill(runtime, primary),
             (FaultAction::Terminate(_), Phase::Begin) => supervisor.terminate(runtime, scheduler),
             (FaultAction::Kill(_) | FaultAction::Terminate(_), Phase::End) => {
-                // One that still runs after SIGTERM gets SIGKILL, as on a planned restart.
+                // A process that still runs after SIGTERM gets SIGKILL, as in a planned restart.
                 if supervisor.is_running(scheduler) {
                     supervisor.kill(runtime, primary);
                 }
                 self.start_process(primary);
             }
             (FaultAction::Pause(_), Phase::Begin) => {
-                let at = runtime.clock.since_start();
+                let at = runtime.clock.since_traffic_start();
                 runtime.record(HistoryEvent::Process { at, scheduler, change: ProcessEvent::Paused });
                 supervisor.signal(scheduler, Signal::STOP);
             }
             (FaultAction::Pause(_), Phase::End) => {
                 supervisor.signal(scheduler, Signal::CONT);
-                // It has to catch up on what arrived meanwhile.
-                let at = runtime.clock.since_start() + ANSWER_TOLERANCE;
+                // The resumed process first has to work through what arrived during the pause.
+                let at = runtime.clock.since_traffic_start() + ANSWER_TOLERANCE;
                 runtime.record(HistoryEvent::Process { at, scheduler, change: ProcessEvent::Resumed });
             }
             (FaultAction::DuplicateProcess(_), Phase::Begin) => self.start_process(duplicate),
@@ -212,12 +215,12 @@
 
     // Discovery.
 
-    /// Discovery refuses connections and resets those that it has.
+    /// During an outage, discovery refuses new connections; those open at its beginning are reset.
     fn apply_discovery_outage(&mut self, number: usize, phase: Phase) {
         self.discovery.is_down = phase == Phase::Begin;
         if phase == Phase::Begin {
             let until = self.context.scenario.faults[number].until.unwrap_or(f64::INFINITY);
-            let at = self.context.runtime.clock.since_start();
+            let at = self.context.runtime.clock.since_traffic_start();
             for scheduler in 0..self.context.scenario.schedulers {
                 self.context.runtime.record(HistoryEvent::DiscoveryUnreachable { at, until, scheduler });
             }
@@ -228,15 +231,15 @@
         }
     }
 
-    /// Resets all connections whose far end is a node.
+    /// Resets all connections between schedulers and a node.
     pub fn reset_connections_of(&mut self, node: Node) {
-        for id in self.context.network.ids(|connection| connection.far == node) {
+        for id in self.context.network.ids(|connection| connection.remote_node == node) {
             self.context.network.reset(id);
         }
     }
 }
 
-/// Whether a connection travels on one of these links, in either direction.
-fn is_on(connection: &Connection, links: &[Link]) -> bool {
+/// Whether a connection uses one of these links in either direction.
+fn uses_any_link(connection: &Connection, links: &[Link]) -> bool {
     links.contains(&connection.link_from_scheduler()) || links.contains(&connection.link_to_scheduler())
 }
--- a/crates/test-cluster/src/cluster/listener.rs
+++ b/crates/test-cluster/src/cluster/listener.rs
@@ -1,4 +1,5 @@
-//! A listener of the proxy: the address under which a scheduler knows a worker, discovery or another scheduler.
+//! A listener of the proxy: the address at which a scheduler reaches a worker, discovery or another
+//! scheduler.
 
 use mio::net::{TcpListener, TcpStream};
 use socket2::{Domain, SockRef, Socket, Type};
@@ -8,39 +9,43 @@
 #[cfg(test)]
 mod tests;
 
-/// Connections that may wait to be accepted.
+/// Length of the accept queue of a listener that is open.
 const BACKLOG: i32 = 1_024;
-/// Connections that fill the queue of a listener that is unreachable: one more than its length of zero admits.
-const FILLERS: usize = 2;
+/// Connections that fill the accept queue of an unreachable listener. Linux admits one connection with a
+/// backlog of 0; the second is one more than that.
+const FILLER_CONNECTIONS: usize = 2;
 
-/// A port of loopback that the system chooses.
+/// Loopback address with port 0, for which the kernel chooses a free port.
 pub fn any_loopback_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
 
-/// The address that a socket is bound to.
+/// The address that a socket is bound to, as an IP address and port.
 pub fn local_address(socket: &Socket) -> io::Result<SocketAddr> {
-    socket.local_addr()?.as_socket().ok_or_else(|| io::Error::other("no address"))
+    socket.local_addr()?.as_socket().ok_or_else(|| io::Error::other("the socket has no IP address"))
 }
 
-/// A port that is bound and not served. Only sockets with `SO_REUSEPORT` that ask for this very port can bind it too.
+/// A port that is bound but not served. Only sockets that have `SO_REUSEPORT` set and ask for this port
+/// number can bind it as well.
 #[derive(Debug)]
 pub struct ReservedPort {
     _socket: Socket,
-    /// Its address.
+    /// Loopback address with the reserved port.
     pub address: SocketAddr,
 }
 
 impl ReservedPort {
-    /// Reserves a port for streams or datagrams that no other socket has.
+    /// Reserves a TCP or UDP port (by `kind`) that no other socket is bound to.
     pub fn new(kind: Type) -> io::Result<ReservedPort> {
         let socket = Socket::new(Domain::IPV4, kind, None)?;
         socket.set_reuse_address(kind == Type::STREAM)?;
         socket.bind(&any_loopback_port().into())?;
-        // Only now: among ports for datagrams the system would choose also those of other sockets with this option.
+        // The option must be set after `bind`: with it, the kernel may choose a UDP port of another socket
+        // that has the option too.
         socket.set_reuse_port(true)?;
         if kind == Type::DGRAM {
-            // Connected to itself: datagrams of others are for whoever else binds the port.
+            // A socket connected to itself receives no datagrams from others, so these reach the scheduler's
+            // socket on the same port.
             socket.connect(&socket.local_addr()?)?;
         }
         let address = local_address(&socket)?;
@@ -48,29 +53,29 @@
     }
 }
 
-/// How a listener treats connections.
+/// How a listener treats new connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerState {
-    /// They are accepted.
+    /// Connections are accepted.
     Open,
-    /// They are refused.
+    /// Connections are refused, as by a host without a process on the port.
     Refusing,
-    /// They never come up.
+    /// Connections are never established, as with a host that drops all packets.
     Unreachable,
 }
 
-/// A listener.
+/// A TCP listener that can refuse connections or be unreachable, and keeps its address throughout.
 pub struct Listener {
     listener: TcpListener,
     state: ListenerState,
-    /// Own connections that fill the queue while it is unreachable.
+    /// The proxy's own connections that fill the accept queue while the listener is unreachable.
     fillers: Vec<Socket>,
     address: SocketAddr,
 }
 
 impl Listener {
-    /// An open listener on a port of its own. It is bound by the port's number: a listener that is bound to whichever port
-    /// the system chooses loses that port when it is shut down, and serves on another one afterwards.
+    /// Opens a listener on a reserved port. It is bound by port number, because a listener bound to port 0
+    /// loses its port on `shutdown` and would listen on another one afterwards.
     pub fn new() -> io::Result<Listener> {
         let reserved = ReservedPort::new(Type::STREAM)?;
         let socket = Socket::new(Domain::IPV4, Type::STREAM, None)?;
@@ -84,22 +89,22 @@
         Ok(Listener { listener, state: ListenerState::Open, fillers: Vec::new(), address })
     }
 
-    /// Its socket, for the poll.
+    /// The listening socket, to be registered with the poll.
     pub fn socket(&mut self) -> &mut TcpListener {
         &mut self.listener
     }
 
-    /// Its address.
+    /// The address, which stays the same in all states.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// How it treats connections.
+    /// How the listener treats new connections now.
     pub fn state(&self) -> ListenerState {
         self.state
     }
 
-    /// The connections that have come up.
+    /// Accepts all established connections; none unless the listener is open.
     pub fn accept(&self) -> Vec<TcpStream> {
         let mut accepted = Vec::new();
         while self.state == ListenerState::Open
@@ -110,7 +115,7 @@
         accepted
     }
 
-    /// Changes how it treats connections. Gives those that had come up before the change.
+    /// Changes the state, and returns the connections that were established before the change.
     pub fn set_state(&mut self, state: ListenerState) -> io::Result<Vec<TcpStream>> {
         let accepted = match self.state {
             ListenerState::Open => self.accept(),
@@ -133,27 +138,28 @@
         SockRef::from(&self.listener).listen(backlog)
     }
 
-    /// Fills the queue, so that the system drops who connects, as a network that is cut does.
+    /// Fills the accept queue, so that the kernel drops further connection attempts as a partitioned network
+    /// would.
     fn fill_queue(&mut self) -> io::Result<()> {
         self.listen(0)?;
-        for _ in 0..FILLERS {
+        for _ in 0..FILLER_CONNECTIONS {
             let filler = Socket::new(Domain::IPV4, Type::STREAM, None)?;
             filler.set_nonblocking(true)?;
-            // In progress, as it does not block.
+            // Returns "in progress", because the socket does not block.
             let _ = filler.connect(&self.address().into());
             self.fillers.push(filler);
         }
         Ok(())
     }
 
-    /// Empties the queue; gives the connections in it that are not fillers.
+    /// Empties the accept queue, and returns the connections in it that are not the proxy's own.
     fn drain_queue(&mut self) -> io::Result<Vec<TcpStream>> {
         self.listen(BACKLOG)?;
-        let own: Vec<SocketAddr> =
+        let filler_addresses: Vec<SocketAddr> =
             self.fillers.drain(..).filter_map(|filler| local_address(&filler).ok()).collect();
         let mut accepted = Vec::new();
         while let Ok((stream, from)) = self.listener.accept() {
-            if !own.contains(&from) {
+            if !filler_addresses.contains(&from) {
                 accepted.push(stream);
             }
         }
--- a/crates/test-cluster/src/cluster/listener/tests.rs
+++ b/crates/test-cluster/src/cluster/listener/tests.rs
@@ -2,7 +2,7 @@
 use std::collections::HashSet;
 use std::net::TcpStream as StdStream;
 
-/// Whether a socket of somebody else's, who asks for just this port, gets it.
+/// Whether a socket without `SO_REUSEPORT` can bind this port.
 fn can_be_bound_by_others(kind: Type, address: SocketAddr) -> bool {
     let socket = Socket::new(Domain::IPV4, kind, None).expect("a socket");
     socket.bind(&address.into()).is_ok()
@@ -25,10 +25,11 @@
     }
 }
 
-/// Two test clusters whose schedulers share a port for datagrams each lose a part of their messages to the other.
+/// If two test clusters running at once reserved the same UDP port, each would lose some of its schedulers'
+/// datagrams to the other.
 #[test]
 fn no_port_is_reserved_twice() {
-    // Chosen at random among some 28000 ports, that many would have about 11 pairs.
+    // If chosen at random from about 28000 ports, this many would include about 11 pairs of equal ports.
     const PORTS: usize = 800;
     let reserve = |_| ReservedPort::new(Type::DGRAM).expect("a port");
     let reserved: Vec<ReservedPort> = (0..PORTS).map(reserve).collect();
@@ -47,7 +48,7 @@
             socket.bind(&reserved.address.into()).expect("the reserved port");
             socket
         };
-        // A process and its duplicate.
+        // Two sockets: a scheduler's process and its duplicate.
         let _sockets: Vec<Socket> = (0..2).map(bind).collect();
         assert!(!can_be_bound_by_others(kind, reserved.address));
     }
--- a/crates/test-cluster/src/cluster/listener_states.rs
+++ b/crates/test-cluster/src/cluster/listener_states.rs
@@ -1,4 +1,5 @@
-//! The states of all listeners, as they follow from the network's conditions, dead workers and outages of discovery.
+//! Derives the states of the proxy's listeners from the network conditions, dead workers and discovery
+//! outages.
 
 use super::event_loop::Cluster;
 use super::listener::ListenerState;
@@ -6,7 +7,7 @@
 use crate::scenario::Node;
 
 impl Cluster<'_> {
-    /// Brings all listeners into the states that they must have now.
+    /// Updates all listeners to the state required by the faults in effect.
     pub fn update_listeners(&mut self) {
         for index in 0..self.context.network.listeners.len() {
             let state = self.listener_state(index);
@@ -18,13 +19,14 @@
 
     fn listener_state(&self, index: usize) -> ListenerState {
         let network = &self.context.network;
-        let (scheduler, far) = (network.listeners[index].scheduler, network.listeners[index].far);
-        let is_dead = match far {
+        let (scheduler, remote_node) =
+            (network.listeners[index].scheduler, network.listeners[index].remote_node);
+        let is_dead = match remote_node {
             Node::Worker(worker) => !self.workers.pool.is_alive(worker),
             Node::Discovery => self.discovery.is_down,
             _ => false,
         };
-        if network.is_cut(Node::Scheduler(scheduler), far) {
+        if network.is_blackholed(Node::Scheduler(scheduler), remote_node) {
             ListenerState::Unreachable
         } else if is_dead {
             ListenerState::Refusing
@@ -40,7 +42,11 @@
                     self.handle_connection(index, stream);
                 }
             }
-            Err(source) => self.context.runtime.fail(Error::Io { operation: "a listener", source }),
+            Err(source) => {
+                self.context
+                    .runtime
+                    .fail(Error::Io { operation: "changing the state of a listener", source });
+            }
         }
     }
 }
--- a/crates/test-cluster/src/cluster/mod.rs
+++ b/crates/test-cluster/src/cluster/mod.rs
@@ -1,22 +1,27 @@
-//! Plays a scenario: one poll, one thread; processes of the scheduler, all their links, and the stand-ins behind these.
+//! Runs a scenario: starts the scheduler processes, proxies all their links, and plays the stand-ins at the
+//! other end of these links. Everything runs in one thread with one `mio` poll.
 //!
-//! A proxied connection has one real socket, the scheduler's side, and one stand-in; what travels between them goes
-//! through two [`Pipe`](crate::network_conditions::Pipe)s, one for each direction, under the conditions of its link.
-//! Datagrams between schedulers are received on a socket that the proxy gave the sender as the receiver's address, and
-//! sent on from the one that it gave the receiver as the sender's.
+//! A proxied connection has a real socket on the scheduler's side and a stand-in on the other. Traffic
+//! between the two passes through two [`Pipe`](crate::network_conditions::Pipe)s, one per direction, under
+//! the conditions of its link. For datagrams, the proxy has a socket per ordered pair of schedulers. A
+//! datagram is received on the socket that the sender knows as the receiver's address, and forwarded from the
+//! socket that the receiver knows as the sender's.
 //!
-//! | module | its job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `event_loop` | the poll; hands each event and timer to the part that it is for |
-//! | `runtime`, `timers`, `sources` | what all parts share: clock, random numbers, timers, poll sources, the history |
-//! | `context` | what stand-ins and faults work on: the runtime, the proxy, the processes |
-//! | `setup`, `scheduler_config`, `descriptor_limit` | addresses, files, settings and limits of the processes |
-//! | `supervisor` | processes: start, signals, logs, calls of the admin endpoint |
-//! | `active_faults`, `fault_injector`, `worker_faults`, `listener_states` | faults, and the listeners' states that follow from them |
+//! | `event_loop` | the poll loop; dispatches each event and timer to the module that handles it |
+//! | `runtime`, `timers`, `sources` | clock, random numbers, timers, poll registrations, history |
+//! | `context` | the state that stand-ins and faults work on: runtime, proxy, processes |
+//! | `setup`, `scheduler_config`, `descriptor_limit` | addresses, files, settings, limits of the processes |
+//! | `supervisor` | scheduler processes: start, signals, logs, calls to the admin endpoint |
+//! | `active_faults`, `fault_injector`, `worker_faults` | faults in effect and how they are applied |
+//! | `listener_states` | listener states derived from the faults in effect |
 //! | `network`, `connection`, `listener` | the proxy's connections and listeners |
-//! | `datagrams`, `datagram_relay`, `role_monitor` | the proxy's datagrams, and what they show of leases |
-//! | `stand_in` | the trait that the far ends of connections implement |
-//! | `worker_stand_in`, `discovery_stand_in`, `client_stand_in`, `health_checks`, `scheduler_links` | these far ends |
+//! | `datagrams`, `datagram_relay` | the proxy's datagram sockets and forwarding between schedulers |
+//! | `role_monitor` | leader and lease holders, as observed in datagrams |
+//! | `stand_in` | the trait that all stand-ins behind connections implement |
+//! | `worker_stand_in`, `discovery_stand_in`, `client_stand_in` | workers, discovery and clients |
+//! | `health_checks`, `scheduler_links` | the front proxy's health checks; the relay between schedulers |
 
 mod active_faults;
 mod client_stand_in;
@@ -52,54 +57,59 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-/// A turn of the event loop that takes longer than this delays what it carries by as much.
-pub const LATE_TURN: Millis = 100.0;
+/// An event loop iteration that takes longer than this is counted as slow: it delays the proxied traffic by
+/// as much as it takes.
+pub const SLOW_ITERATION: Millis = 100.0;
 
 /// How to run a scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Options {
-    /// The scheduler's program.
+    /// Path of the scheduler's executable.
     pub program: PathBuf,
-    /// Ends the run early when set.
+    /// The run ends early with [`Error::Interrupted`] once the caller sets this flag.
     pub stop: Option<Arc<AtomicBool>>,
 }
 
 /// The reply of a scheduler's admin endpoint.
 #[derive(Clone, Debug)]
 pub struct AdminReply {
-    /// The scheduler.
+    /// Index of the scheduler in the scenario.
     pub scheduler: usize,
-    /// Its reply.
+    /// The complete reply, possibly of several lines.
     pub text: String,
 }
 
-/// What a run came to.
+/// The result of a run, as input for the checker and the report.
 #[derive(Debug)]
 pub struct Outcome {
-    /// What was observed, in order.
+    /// Events that the stand-ins and the proxy observed since the start of traffic, in order.
     pub history: Vec<HistoryEvent>,
-    /// Processes that ended although nobody had asked them to, with the end of their logs.
+    /// A description of each process that exited without being told to, with the last lines of its log.
     pub crashed: Vec<String>,
-    /// Ids of all processes that were started; none runs any more.
+    /// Ids of all processes that were started; all have ended when the outcome is returned.
     pub process_ids: Vec<u32>,
-    /// `DUTIES` of each process that still ran at the end: roles and leases.
+    /// Replies to `DUTIES` (roles and leases) from each primary process that was still running at the end.
     pub role_replies: Vec<AdminReply>,
-    /// `MEMBERS` of each of them.
+    /// Replies to `MEMBERS` from the same processes.
     pub member_replies: Vec<AdminReply>,
-    /// `INFO` of each of them: figures.
+    /// Replies to `INFO` (metrics) from the same processes.
     pub info_replies: Vec<AdminReply>,
-    /// What the processes logged: the time since the start of traffic, the scheduler, and the line.
+    /// Log lines of the processes, each prefixed with the milliseconds since the start of traffic (-1 before
+    /// it) and the scheduler.
     pub log: Vec<String>,
-    /// Processor time of the processes that still ran at the end, in milliseconds, since the start of traffic.
+    /// CPU time in milliseconds that the processes still running at the end have used since the start of
+    /// traffic.
     pub cpu_ms: f64,
-    /// Bytes on connections between schedulers.
+    /// Bytes forwarded on connections between schedulers.
     pub link_bytes: u64,
-    /// Turns of the event loop that took longer than [`LATE_TURN`]: a run with many of them says little.
-    pub late_turns: usize,
+    /// Event loop iterations that took longer than [`SLOW_ITERATION`]. Many of them make the run's timings
+    /// unreliable.
+    pub slow_iterations: usize,
 }
 
-/// Plays a scenario and gives what was observed. An error is the test cluster's own: it did not come up, there are too
-/// few descriptors, a program is missing. No process and no file is left behind in either case.
+/// Runs a scenario and returns what was observed. Errors concern the test cluster itself, such as a failed
+/// start, too low a descriptor limit or a missing program; violations by the schedulers are for the checker
+/// to find. Either way, no process and no file is left behind.
 pub fn run(scenario: &Scenario, options: &Options) -> Result<Outcome, Error> {
     descriptor_limit::raise(scenario)?;
     let mut cluster = Cluster::new(scenario, options)?;
--- a/crates/test-cluster/src/cluster/network.rs
+++ b/crates/test-cluster/src/cluster/network.rs
@@ -1,7 +1,7 @@
-//! The proxy's connections and listeners, and the conditions of all links. What happens on connections is queued as
-//! events for the stand-ins.
+//! The proxy's connections and listeners, and the conditions of all links. Activity on connections is queued
+//! as events for the stand-ins.
 
-use super::connection::{Connection, Ends, ReadEnd, WriteMark};
+use super::connection::{Connection, ConnectionEnds, NoData, WriteMark};
 use super::listener::Listener;
 use super::runtime::Runtime;
 use super::sources::Source;
@@ -15,35 +15,34 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// Something that happened on a connection.
+/// An event on a proxied connection.
 #[derive(Debug)]
 pub enum NetworkEvent {
-    /// A mark has been written.
+    /// All bytes up to a mark have been written to the scheduler's socket.
     Written {
-        /// The scheduler that it was written to.
+        /// The receiving scheduler.
         scheduler: usize,
-        /// When its connection was opened.
+        /// Traffic time at which the connection was opened.
         opened_at: Millis,
-        /// What it marks.
+        /// The mark that has been reached.
         mark: WriteMark,
     },
     /// Bytes have arrived for the stand-in.
     Received(ConnectionId, Vec<u8>),
-    /// The scheduler has ended its sending, or the connection is gone.
+    /// The scheduler has closed its sending side, or the connection is closed.
     Ended(ConnectionId),
 }
 
-/// A listener and what it stands for.
+/// A listener of the proxy, which represents one node to one scheduler.
 pub struct ProxyListener {
-    /// The listener.
     pub listener: Listener,
-    /// The scheduler that knows its address.
+    /// The only scheduler that has this address in its configuration or endpoint list.
     pub scheduler: usize,
-    /// The node that the scheduler reaches by it.
-    pub far: Node,
+    /// The node that the scheduler reaches at this address.
+    pub remote_node: Node,
 }
 
-/// All connections and listeners.
+/// All proxied connections and listeners, with the conditions of the links.
 #[derive(Default)]
 pub struct Network {
     connections: BTreeMap<ConnectionId, Connection>,
@@ -54,40 +53,42 @@
 }
 
 impl Network {
-    /// Opens a listener for a scheduler; gives its address.
+    /// Opens a listener that represents a node to a scheduler, and returns its address.
     pub fn add_listener(
         &mut self,
         runtime: &mut Runtime,
         scheduler: usize,
-        far: Node,
+        remote_node: Node,
     ) -> io::Result<SocketAddr> {
         let mut listener = Listener::new()?;
         let source = Source::Listener(self.listeners.len());
         runtime.sources.register(listener.socket(), Interest::READABLE, source)?;
         let address = listener.address();
-        self.listeners.push(ProxyListener { listener, scheduler, far });
+        self.listeners.push(ProxyListener { listener, scheduler, remote_node });
         Ok(address)
     }
 
-    /// The address under which a scheduler knows a node.
-    pub fn listener_address(&self, scheduler: usize, far: Node) -> Option<SocketAddr> {
+    /// The address at which a scheduler reaches a node; `None` if it has no listener for it.
+    pub fn listener_address(&self, scheduler: usize, remote_node: Node) -> Option<SocketAddr> {
         let mut listeners = self.listeners.iter();
-        let listener = listeners.find(|one| one.scheduler == scheduler && one.far == far)?;
+        let listener =
+            listeners.find(|entry| entry.scheduler == scheduler && entry.remote_node == remote_node)?;
         Some(listener.listener.address())
     }
 
-    /// The conditions of a link.
+    /// The conditions of a link; the default ones if no fault affects it.
     pub fn conditions(&self, link: Link) -> NetworkConditions {
         self.conditions.get(&link).cloned().unwrap_or_default()
     }
 
-    /// Whether nothing arrives in one of the two directions between two nodes.
-    pub fn is_cut(&self, a: Node, b: Node) -> bool {
+    /// Whether at least one of the two directions between two nodes is a black hole, so that no connection
+    /// between them can be established.
+    pub fn is_blackholed(&self, a: Node, b: Node) -> bool {
         let link = Link::new(a, b);
         self.conditions(link).blackhole || self.conditions(link.reverse()).blackhole
     }
 
-    /// Replaces the conditions of all links, and moves on what these let through.
+    /// Replaces the conditions of all links, and delivers the packets that may now pass.
     pub fn set_conditions(&mut self, runtime: &mut Runtime, conditions: HashMap<Link, NetworkConditions>) {
         self.conditions = conditions;
         for id in self.ids(|_| true) {
@@ -95,33 +96,33 @@
         }
     }
 
-    /// Adds a connection. A failure ends the run.
+    /// Adds a connection and registers it with the poll. If that fails, the run ends with the error.
     pub fn add(
         &mut self,
         runtime: &mut Runtime,
         mut stream: TcpStream,
-        ends: Ends,
+        ends: ConnectionEnds,
         is_opening: bool,
     ) -> Option<ConnectionId> {
-        // Latency is all that it changes.
+        // A failure only affects latency.
         let _ = stream.set_nodelay(true);
         let id = self.last_id + 1;
         let interest = Interest::READABLE | Interest::WRITABLE;
         match runtime.sources.register(&mut stream, interest, Source::Connection(id)) {
             Ok(token) => {
                 self.last_id = id;
-                let now = runtime.clock.since_start();
+                let now = runtime.clock.since_traffic_start();
                 self.connections.insert(id, Connection::new(stream, token, ends, is_opening, now));
                 Some(id)
             }
             Err(source) => {
-                runtime.fail(Error::Io { operation: "watching a connection", source });
+                runtime.fail(Error::Io { operation: "registering a connection with the poll", source });
                 None
             }
         }
     }
 
-    /// Removes a connection, which ends it once it is dropped.
+    /// Removes and returns a connection. Its socket is closed when it is dropped.
     pub fn remove(&mut self, runtime: &mut Runtime, id: ConnectionId) -> Option<Connection> {
         let mut connection = self.connections.remove(&id)?;
         let token = connection.token;
@@ -129,41 +130,41 @@
         Some(connection)
     }
 
-    /// A connection, unless it has ended.
+    /// Returns a connection; `None` once it has been removed.
     pub fn get(&self, id: ConnectionId) -> Option<&Connection> {
         self.connections.get(&id)
     }
 
-    /// A connection, unless it has ended.
+    /// Returns a connection; `None` once it has been removed.
     pub fn get_mut(&mut self, id: ConnectionId) -> Option<&mut Connection> {
         self.connections.get_mut(&id)
     }
 
-    /// The connections with a property, in the order in which they were opened.
+    /// Ids of the connections that satisfy a predicate, in the order in which they were opened.
     pub fn ids(&self, has_property: impl Fn(&Connection) -> bool) -> Vec<ConnectionId> {
         let all = self.connections.iter().filter(|(_, connection)| has_property(connection));
         all.map(|(id, _)| *id).collect()
     }
 
-    /// What happened since the last call, one event at a time.
+    /// Takes the oldest event that has not been handled yet.
     pub fn poll_event(&mut self) -> Option<NetworkEvent> {
         self.events.pop_front()
     }
 
-    /// Ends a connection as a machine does that does not exist any more.
+    /// Resets a connection in both directions, as when the host at the other end is gone.
     pub fn reset(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
-        connection.is_broken = true;
+        connection.was_reset = true;
         connection.reset_on_close();
         self.events.push_back(NetworkEvent::Ended(id));
     }
 
-    /// The scheduler's side seems to have ended its sending.
+    /// Simulates that the scheduler has closed its sending side.
     pub fn end_from_scheduler(&mut self, runtime: &mut Runtime, id: ConnectionId) {
         self.push_from_scheduler(runtime, id, Packet::End);
     }
 
-    /// The stand-in's side seems to have ended its sending.
+    /// Simulates that the stand-in has closed its sending side.
     pub fn end_to_scheduler(&mut self, id: ConnectionId) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.end_output();
@@ -171,7 +172,8 @@
         self.write(id);
     }
 
-    /// A stand-in sends bytes, with what to record once they are written.
+    /// Sends bytes from a stand-in under the conditions of the link. The mark is reported once they have been
+    /// written.
     pub fn send(&mut self, runtime: &mut Runtime, id: ConnectionId, bytes: Vec<u8>, mark: Option<WriteMark>) {
         let Some(link) = self.get(id).map(Connection::link_to_scheduler) else { return };
         let (now, conditions) = (runtime.clock.now(), self.conditions(link));
@@ -181,7 +183,7 @@
         self.advance(runtime, id);
     }
 
-    /// Passes bytes on that have been under way already.
+    /// Writes bytes to the scheduler without delay, for bytes that have already passed a link's conditions.
     pub fn forward(&mut self, id: ConnectionId, bytes: &[u8]) {
         if let Some(connection) = self.connections.get_mut(&id) {
             connection.extend_output(bytes);
@@ -197,7 +199,7 @@
         }
     }
 
-    /// Moves on what has arrived, in both directions.
+    /// Delivers the packets that have arrived in both directions, and schedules a timer for the next arrival.
     pub fn advance(&mut self, runtime: &mut Runtime, id: ConnectionId) {
         let Some(link) = self.get(id).map(Connection::link_from_scheduler) else { return };
         let (from, to) = (self.conditions(link), self.conditions(link.reverse()));
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Writes what the scheduler's socket takes.
+    /// Writes as many pending bytes as the scheduler's socket accepts.
     pub fn write(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.get_mut(&id) else { return };
         match connection.write() {
@@ -251,19 +253,19 @@
         }
     }
 
-    /// Reads what the scheduler has sent.
+    /// Reads all available bytes from the scheduler's socket.
     pub fn read(&mut self, runtime: &mut Runtime, id: ConnectionId) {
         while let Some(connection) = self.connections.get_mut(&id) {
             match connection.read() {
                 Ok(bytes) => {
-                    connection.first_byte_at.get_or_insert(runtime.clock.since_start());
+                    connection.first_byte_at.get_or_insert(runtime.clock.since_traffic_start());
                     self.push_from_scheduler(runtime, id, Packet::Bytes(bytes));
                 }
-                Err(ReadEnd::Ended) => {
+                Err(NoData::Ended) => {
                     self.push_from_scheduler(runtime, id, Packet::End);
                     break;
                 }
-                Err(ReadEnd::Blocked) => break,
+                Err(NoData::WouldBlock) => break,
             }
         }
         self.advance(runtime, id);
--- a/crates/test-cluster/src/cluster/role_monitor.rs
+++ b/crates/test-cluster/src/cluster/role_monitor.rs
@@ -1,26 +1,29 @@
-//! What datagrams between schedulers show of leases: who is the leader, who holds a role's lease, and which fenced
-//! messages are under way.
+//! Observes leases in the datagrams between schedulers: the leader, the holders of role leases, and fenced
+//! messages.
 
 use crate::Millis;
 use crate::history::HistoryEvent;
 use brackenledge_leases::{FencingToken, Message, Role};
 
-/// First byte of a message of the leases' protocol.
+/// First byte of a message of the lease protocol.
 const LEASE_MESSAGE: u8 = 0xf2;
 /// First byte of a fenced message.
 const FENCED_MESSAGE: u8 = 0xf3;
-/// The role whose lease holder faults can name.
+/// The role that the target `lease-holder` of a fault refers to.
 const FIRST_ROLE: Role = 0;
 
-/// The leader and the first role's lease holder, as leaders announce them.
+/// The leader and the first role's lease holder, as last announced by a leader.
 #[derive(Debug, Default)]
 pub struct RoleMonitor {
+    /// The scheduler that last announced itself as the leader; `None` before the first announcement.
     pub leader: Option<usize>,
+    /// The scheduler last announced as the holder of the first role's lease.
     pub lease_holder: Option<usize>,
 }
 
 impl RoleMonitor {
-    /// Reads a datagram as it leaves its sender, or as it reaches a receiver.
+    /// Decodes a datagram and returns the events to record. `receiver` is `None` when the datagram leaves its
+    /// sender, and the receiving scheduler when it is delivered.
     pub fn observe(
         &mut self,
         at: Millis,
@@ -35,7 +38,8 @@
         }
     }
 
-    /// A leader's view update announces the holders of all roles.
+    /// Handles a view update, in which a leader announces the holders of all roles. View updates from other
+    /// members are ignored.
     fn view_update(
         &mut self,
         at: Millis,
--- a/crates/test-cluster/src/cluster/scheduler_config.rs
+++ b/crates/test-cluster/src/cluster/scheduler_config.rs
@@ -1,4 +1,4 @@
-//! The configuration file of a scheduler's process.
+//! Builds the configuration file of a scheduler's process.
 
 use super::context::Context;
 use super::sources::DatagramRoute;
@@ -7,15 +7,15 @@
 use serde_json::{Value, json};
 use std::io;
 
-/// Descriptors that a scheduler may hold where the scenario does not say.
+/// Limit on a scheduler's descriptors if the scenario does not set one.
 const DEFAULT_DESCRIPTORS: usize = 1024;
 
-/// The configuration of a scheduler.
+/// Builds the configuration of the scheduler with this index, as JSON.
 pub fn configuration(context: &Context, number: usize) -> io::Result<Value> {
     let scenario = context.scenario;
     let addresses = context.supervisor.addresses(number);
     let discovery = context.network.listener_address(number, Node::Discovery);
-    let discovery = discovery.ok_or_else(|| io::Error::other("discovery has no listener"))?;
+    let discovery = discovery.ok_or_else(|| io::Error::other("no proxy listener for discovery"))?;
     Ok(json!({
         "name": format!("s{number}"),
         "listen": addresses.clients.to_string(),
@@ -34,7 +34,8 @@
     }))
 }
 
-/// The addresses by which a scheduler sends datagrams to each scheduler; its own stands in its own place.
+/// The addresses to which a scheduler sends datagrams, by receiving scheduler. Its own entry is its real
+/// address.
 fn peers(context: &Context, number: usize) -> io::Result<Vec<String>> {
     let address = |other: usize| {
         if other == number {
@@ -47,7 +48,7 @@
 
 fn datagram_address(context: &Context, route: DatagramRoute) -> io::Result<String> {
     let address = context.datagrams.address(route);
-    let address = address.unwrap_or_else(|| Err(io::Error::other("a route has no socket")))?;
+    let address = address.unwrap_or_else(|| Err(io::Error::other("no datagram socket for a route")))?;
     Ok(address.to_string())
 }
 
@@ -89,12 +90,13 @@
 fn classes() -> Vec<Value> {
     let class = |class: &Class| {
         json!({"name": class.name, "effect": class.effect, "group": "zone", "window": DEDUPLICATION_WINDOW,
-            "goal-time": 400.0, "hard-limit": 5000.0, "importance": 2.0, "late-value": 0.5, "streamed": false})
+            "goal-time": 400.0, "hard-limit": 5000.0, "importance": 2.0, "late-value": 0.5,
+            "streamed": false})
     };
     CLASSES.iter().map(class).collect()
 }
 
-/// The tenants share the traffic equally.
+/// The tenants, with equal shares of the traffic.
 fn tenants(per_second: f64) -> Vec<Value> {
     let fraction = 1.0 / TENANTS.len() as f64;
     let tenant =
--- a/crates/test-cluster/src/cluster/scheduler_links.rs
+++ b/crates/test-cluster/src/cluster/scheduler_links.rs
@@ -1,6 +1,7 @@
-//! Connections between two schedulers: what one sends on its side comes out at the other, after its own pipe.
+//! Relays connections between schedulers. Each relay is a pair of proxied connections, one per scheduler;
+//! bytes that have passed the pipe from one scheduler are written to the other.
 
-use super::connection::{Connection, Ends, FarEnd};
+use super::connection::{Connection, ConnectionEnds, StandInKind};
 use super::context::Context;
 use super::stand_in::StandIn;
 use crate::ConnectionId;
@@ -8,39 +9,45 @@
 use mio::net::TcpStream;
 use std::collections::HashMap;
 
-/// The pairs of connections that make up links between schedulers.
+/// The pairs of proxied connections that relay bytes between schedulers.
 #[derive(Default)]
 pub struct SchedulerLinks {
-    /// The other connection of each pair.
-    others: HashMap<ConnectionId, ConnectionId>,
-    /// Bytes that have passed.
+    /// The other connection of the pair, by connection; it has an entry for both.
+    counterparts: HashMap<ConnectionId, ConnectionId>,
+    /// Total bytes relayed in both directions.
     pub bytes: u64,
 }
 
 impl SchedulerLinks {
-    /// A scheduler has connected to another one by the proxy.
-    pub fn handle_connection(&mut self, context: &mut Context, stream: TcpStream, from: usize, to: usize) {
-        // Where nobody listens, the caller's connection ends.
-        let Ok(far) = TcpStream::connect(context.supervisor.addresses(to).links) else { return };
-        let ends = |scheduler, other| Ends {
+    /// Handles a connection from one scheduler to another by opening the second connection of the pair.
+    pub fn handle_connection(
+        &mut self,
+        context: &mut Context,
+        caller_stream: TcpStream,
+        from: usize,
+        to: usize,
+    ) {
+        // If the connection fails at once, dropping the caller's stream closes the caller's connection.
+        let Ok(callee_stream) = TcpStream::connect(context.supervisor.addresses(to).links) else { return };
+        let ends = |scheduler, other| ConnectionEnds {
             scheduler,
-            far: Node::Scheduler(other),
-            far_end: FarEnd::SchedulerLink,
+            remote_node: Node::Scheduler(other),
+            stand_in_kind: StandInKind::SchedulerLink,
         };
-        let near_id = context.network.add(&mut context.runtime, stream, ends(from, to), false);
-        let Some(near_id) = near_id else { return };
-        let far_id = context.network.add(&mut context.runtime, far, ends(to, from), true);
-        let Some(far_id) = far_id else {
-            context.network.remove(&mut context.runtime, near_id);
+        let caller_id = context.network.add(&mut context.runtime, caller_stream, ends(from, to), false);
+        let Some(caller_id) = caller_id else { return };
+        let callee_id = context.network.add(&mut context.runtime, callee_stream, ends(to, from), true);
+        let Some(callee_id) = callee_id else {
+            context.network.remove(&mut context.runtime, caller_id);
             return;
         };
-        self.others.extend([(near_id, far_id), (far_id, near_id)]);
+        self.counterparts.extend([(caller_id, callee_id), (callee_id, caller_id)]);
     }
 }
 
 impl StandIn for SchedulerLinks {
     fn handle_input(&mut self, context: &mut Context, id: ConnectionId) {
-        let Some(&other) = self.others.get(&id) else { return };
+        let Some(&other) = self.counterparts.get(&id) else { return };
         let Some(connection) = context.network.get_mut(id) else { return };
         let bytes = std::mem::take(&mut connection.input);
         self.bytes += bytes.len() as u64;
@@ -48,8 +55,8 @@
     }
 
     fn handle_end(&mut self, context: &mut Context, id: ConnectionId, _connection: Connection) {
-        let Some(other) = self.others.remove(&id) else { return };
-        self.others.remove(&other);
+        let Some(other) = self.counterparts.remove(&id) else { return };
+        self.counterparts.remove(&other);
         if let Some(mut connection) = context.network.remove(&mut context.runtime, other) {
             connection.reset_on_close();
         }
--- a/crates/test-cluster/src/cluster/setup.rs
+++ b/crates/test-cluster/src/cluster/setup.rs
@@ -1,5 +1,5 @@
-//! Makes a cluster before anything runs: all addresses first, since each configuration names those of the others, then
-//! the files.
+//! Prepares a cluster before any process starts. All addresses are allocated first, because each scheduler's
+//! configuration contains the addresses of the others; then the files are written.
 
 use super::Options;
 use super::context::Context;
@@ -18,15 +18,16 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// The admin endpoint of a duplicate process: any port.
+/// Admin address of a duplicate process: any free port, because the primary process has the scheduler's own
+/// one.
 const DUPLICATE_ADMIN_ADDRESS: &str = "127.0.0.1:0";
 
-/// Makes the sockets, and the files in `folder`.
+/// Opens the cluster's sockets and writes its configuration files to `run_dir`.
 pub fn build<'a>(
     scenario: &'a Scenario,
     options: &Options,
     sources: Sources,
-    folder: &Path,
+    run_dir: &Path,
 ) -> io::Result<Context<'a>> {
     let reserved: io::Result<Vec<ReservedAddresses>> =
         (0..scenario.schedulers).map(|_| ReservedAddresses::new()).collect();
@@ -44,13 +45,14 @@
     open_sockets(&mut context)?;
     let links = open_links(&mut context)?;
     for (scheduler, links) in links.iter().enumerate() {
-        let files = write_files(&context, folder, scheduler, links)?;
+        let files = write_files(&context, run_dir, scheduler, links)?;
         context.supervisor.set_files(scheduler, files);
     }
     Ok(context)
 }
 
-/// The sockets by which each scheduler reaches the others' datagrams, workers and discovery.
+/// Opens the proxy's sockets at which each scheduler reaches the other schedulers (by datagram), the workers
+/// and discovery.
 fn open_sockets(context: &mut Context) -> io::Result<()> {
     let Context { scenario, runtime, network, datagrams, .. } = context;
     for from in 0..scenario.schedulers {
@@ -58,15 +60,16 @@
         for to in others.map(Some).chain([None]) {
             datagrams.open(runtime, DatagramRoute { from, to })?;
         }
-        for far in (0..scenario.workers).map(Node::Worker).chain([Node::Discovery]) {
-            network.add_listener(runtime, from, far)?;
+        for remote_node in (0..scenario.workers).map(Node::Worker).chain([Node::Discovery]) {
+            network.add_listener(runtime, from, remote_node)?;
         }
     }
     Ok(())
 }
 
-/// The addresses by which each scheduler reaches the others' links. Of two schedulers the one with the lower number
-/// connects; its file has the proxy's listener for the other, whose own real port stands in its own file.
+/// Returns the `links` addresses for each scheduler's operations file. Of two schedulers, the one with the
+/// lower number connects to the other: its file contains the address of the proxy's listener, and the other's
+/// file the real port.
 fn open_links(context: &mut Context) -> io::Result<Vec<Vec<SocketAddr>>> {
     let count = context.scenario.schedulers;
     let own: Vec<SocketAddr> = (0..count).map(|number| context.supervisor.addresses(number).links).collect();
@@ -84,14 +87,14 @@
 
 fn write_files(
     context: &Context,
-    folder: &Path,
+    run_dir: &Path,
     scheduler: usize,
     links: &[SocketAddr],
 ) -> io::Result<Files> {
     let files = Files {
-        config: folder.join(format!("scheduler-{scheduler}.json")),
-        duplicate_config: folder.join(format!("scheduler-{scheduler}-duplicate.json")),
-        operations: write_operations(context.scenario, folder, scheduler, links)?,
+        config: run_dir.join(format!("scheduler-{scheduler}.json")),
+        duplicate_config: run_dir.join(format!("scheduler-{scheduler}-duplicate.json")),
+        operations: write_operations(context.scenario, run_dir, scheduler, links)?,
     };
     let mut config = configuration(context, scheduler)?;
     std::fs::write(&files.config, config.to_string())?;
@@ -100,10 +103,10 @@
     Ok(files)
 }
 
-/// The operators' file, where the scenario has one.
+/// Writes the operations file, if the scenario needs one.
 fn write_operations(
     scenario: &Scenario,
-    folder: &Path,
+    run_dir: &Path,
     scheduler: usize,
     links: &[SocketAddr],
 ) -> io::Result<Option<PathBuf>> {
@@ -115,7 +118,7 @@
     if text.is_empty() {
         return Ok(None);
     }
-    let path = folder.join(format!("operations-{scheduler}.toml"));
+    let path = run_dir.join(format!("operations-{scheduler}.toml"));
     std::fs::write(&path, text)?;
     Ok(Some(path))
 }
--- a/crates/test-cluster/src/cluster/sources.rs
+++ b/crates/test-cluster/src/cluster/sources.rs
@@ -1,5 +1,5 @@
-//! What the poll watches, by token. A token is never given twice, so that a late event of something that is closed
-//! reaches nothing else.
+//! The sources registered with the poll, by token. Tokens are never reused, so a late event of a closed
+//! source is not attributed to another one.
 
 use crate::ConnectionId;
 use mio::event::Source as EventSource;
@@ -7,47 +7,48 @@
 use std::collections::HashMap;
 use std::io;
 
-/// The socket on which a scheduler's datagrams to another scheduler, or to all, are received.
+/// Identifies the proxy's socket that receives a scheduler's datagrams to another scheduler, or to all
+/// others.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct DatagramRoute {
     /// The sending scheduler.
     pub from: usize,
-    /// The receiving one; `None`: all others.
+    /// The receiving scheduler; `None` for a broadcast to all others.
     pub to: Option<usize>,
 }
 
-/// Which of the two processes that a scheduler may have.
+/// Distinguishes the two processes that a scheduler may have.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ProcessKind {
-    /// The one of the scenario's scheduler.
+    /// The scheduler's regular process.
     Primary,
-    /// A second one under the same name, started by a fault.
+    /// A second process with the same name, started by a duplicate-process fault.
     Duplicate,
 }
 
-/// A process of a scheduler.
+/// Identifies a process of a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ProcessSlot {
-    /// The scheduler.
+    /// Index of the scheduler.
     pub scheduler: usize,
-    /// Which of its processes.
+    /// Which of the scheduler's processes.
     pub kind: ProcessKind,
 }
 
-/// What an event of the poll is for.
+/// The source of a poll event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Source {
-    /// A listener, by its index.
+    /// A listener of the proxy, by its index in the network's listeners.
     Listener(usize),
-    /// A connection.
+    /// The scheduler's side of a proxied connection.
     Connection(ConnectionId),
-    /// Datagrams of a scheduler.
+    /// The proxy's datagram socket of a route.
     Datagrams(DatagramRoute),
-    /// The log of a process.
+    /// The pipe with the log output of a process.
     Log(ProcessSlot),
 }
 
-/// All that is registered at the poll.
+/// The registrations with the poll.
 pub struct Sources {
     registry: Registry,
     by_token: HashMap<Token, Source>,
@@ -55,12 +56,12 @@
 }
 
 impl Sources {
-    /// Nothing is registered yet.
+    /// Creates an empty set of registrations with this poll's registry.
     pub fn new(registry: Registry) -> Sources {
         Sources { registry, by_token: HashMap::new(), next: 0 }
     }
 
-    /// Registers a source.
+    /// Registers a source under a new token.
     pub fn register(
         &mut self,
         io: &mut impl EventSource,
@@ -74,14 +75,14 @@
         Ok(token)
     }
 
-    /// Ends a registration.
+    /// Removes a registration.
     pub fn deregister(&mut self, io: &mut impl EventSource, token: Token) {
-        // A source that is closed already has no registration any more.
+        // Fails if the source is already closed; the kernel has then removed the registration.
         let _ = self.registry.deregister(io);
         self.by_token.remove(&token);
     }
 
-    /// What a token stands for.
+    /// Returns the source registered under a token; `None` once it is deregistered.
     pub fn get(&self, token: Token) -> Option<Source> {
         self.by_token.get(&token).copied()
     }
--- a/crates/test-cluster/src/cluster/stand_in.rs
+++ b/crates/test-cluster/src/cluster/stand_in.rs
@@ -1,14 +1,14 @@
-//! What is at the far end of a proxied connection.
+//! The interface of the stand-ins, which play the nodes at the other end of proxied connections.
 
 use super::connection::Connection;
 use super::context::Context;
 use crate::ConnectionId;
 
-/// What is at the far end of a scheduler's connections of one kind.
+/// Plays the other end of a scheduler's connections of one kind.
 pub trait StandIn {
-    /// Bytes have arrived; they are in the connection's `input`.
+    /// Called after bytes have arrived, which are appended to the connection's `input`.
     fn handle_input(&mut self, context: &mut Context, id: ConnectionId);
 
-    /// The connection has ended and been removed.
+    /// Called after a connection has ended and been removed from the network.
     fn handle_end(&mut self, context: &mut Context, id: ConnectionId, connection: Connection);
 }
--- a/crates/test-cluster/src/cluster/supervisor.rs
+++ b/crates/test-cluster/src/cluster/supervisor.rs
@@ -1,4 +1,5 @@
-//! The schedulers' processes: their start, signals, logs and ends, and calls of their admin endpoints.
+//! Starts the scheduler processes, sends them signals, reads their logs, detects their ends, and calls their
+//! admin endpoints.
 
 use super::AdminReply;
 use super::listener::ReservedPort;
@@ -15,32 +16,33 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// An admin endpoint that does not answer by then has no reply.
+/// Timeout for connecting to an admin endpoint and for each read of its reply. Without a reply in time, the
+/// scheduler is missing from the results.
 const ADMIN_TIMEOUT: Duration = Duration::from_secs(2);
-/// What a process logs once it serves.
+/// Contained in the line that a process logs when it starts to serve.
 const SERVING_LOG: &str = "listen: ";
 
-/// The addresses that a scheduler serves.
+/// The addresses that a scheduler listens on.
 #[derive(Clone, Copy, Debug)]
 pub struct Addresses {
-    /// For clients.
+    /// HTTP requests from clients.
     pub clients: SocketAddr,
-    /// For operators.
+    /// The admin endpoint.
     pub admin: SocketAddr,
-    /// For datagrams of other schedulers.
+    /// Datagrams from other schedulers.
     pub datagrams: SocketAddr,
-    /// For connections of other schedulers.
+    /// Failover connections from other schedulers.
     pub links: SocketAddr,
 }
 
-/// The ports of a scheduler's addresses, reserved also while it has no process.
+/// The ports of a scheduler's addresses, which stay reserved while the scheduler has no process.
 pub struct ReservedAddresses {
     pub addresses: Addresses,
     _ports: [ReservedPort; 4],
 }
 
 impl ReservedAddresses {
-    /// Ports that the system chooses.
+    /// Reserves ports that the operating system chooses.
     pub fn new() -> io::Result<ReservedAddresses> {
         let clients = ReservedPort::new(Type::STREAM)?;
         let admin = ReservedPort::new(Type::STREAM)?;
@@ -56,7 +58,8 @@
     }
 }
 
-/// The files of a scheduler's processes. The duplicate has a configuration of its own, without the admin endpoint.
+/// The configuration files of a scheduler's processes. The duplicate process has its own configuration, which
+/// differs in the admin address.
 #[derive(Clone, Debug, Default)]
 pub struct Files {
     pub config: PathBuf,
@@ -66,7 +69,7 @@
 
 struct RunningProcess {
     process: Process,
-    /// Of its log.
+    /// Token of its log pipe at the poll.
     token: Token,
 }
 
@@ -76,7 +79,7 @@
     primary: Option<RunningProcess>,
     duplicate: Option<RunningProcess>,
     is_serving: bool,
-    /// When one of its processes was killed last.
+    /// Traffic time at which one of its processes was last killed.
     killed_at: Millis,
 }
 
@@ -89,22 +92,22 @@
     }
 }
 
-/// All schedulers' processes.
+/// The processes of all schedulers.
 pub struct ProcessSupervisor {
     program: PathBuf,
-    /// The limit on each process's descriptors.
+    /// Limit on the open file descriptors of each process; `None` leaves it as it is.
     descriptors: Option<usize>,
     schedulers: Vec<Scheduler>,
-    /// What processes logged: the time since the start of traffic, the scheduler, and the line.
+    /// Log lines of the processes, each prefixed with traffic time (-1 before traffic) and the scheduler.
     pub log: Vec<String>,
-    /// Processes that ended although nobody had asked them to.
+    /// A description of each process that exited without being told to.
     pub crashed: Vec<String>,
-    /// Ids of all processes that were started.
+    /// Ids of all processes started so far.
     pub process_ids: Vec<u32>,
 }
 
 impl ProcessSupervisor {
-    /// Without any processes yet.
+    /// Creates a supervisor for one scheduler per set of reserved addresses; no process is started yet.
     pub fn new(
         program: PathBuf,
         descriptors: Option<usize>,
@@ -128,70 +131,71 @@
         }
     }
 
-    /// Sets the files that a scheduler's processes are started with.
+    /// Sets the configuration files that a scheduler's processes are started with.
     pub fn set_files(&mut self, scheduler: usize, files: Files) {
         self.schedulers[scheduler].files = files;
     }
 
-    /// The addresses of a scheduler.
+    /// The addresses that a scheduler's processes listen on.
     pub fn addresses(&self, scheduler: usize) -> Addresses {
         self.schedulers[scheduler].reserved.addresses
     }
 
-    /// Whether a scheduler has reported that it serves.
+    /// Whether the scheduler's primary process has logged that it serves.
     pub fn is_serving(&self, scheduler: usize) -> bool {
         self.schedulers[scheduler].is_serving
     }
 
-    /// Whether a scheduler has a process and none of its processes was killed since this time.
+    /// Whether a scheduler's primary process runs and none of its processes was killed at or after traffic
+    /// time `at`.
     pub fn is_alive_since(&self, scheduler: usize, at: Millis) -> bool {
-        let one = &self.schedulers[scheduler];
-        one.primary.is_some() && at > one.killed_at
+        let state = &self.schedulers[scheduler];
+        state.primary.is_some() && at > state.killed_at
     }
 
-    /// Whether a scheduler's primary process runs.
+    /// Whether a scheduler's primary process has been started and has not ended.
     pub fn is_running(&self, scheduler: usize) -> bool {
         self.schedulers[scheduler].primary.is_some()
     }
 
-    /// Starts a process.
+    /// Starts a process and registers its log with the poll.
     pub fn start(&mut self, runtime: &mut Runtime, slot: ProcessSlot) -> Result<(), Error> {
-        let one = &mut self.schedulers[slot.scheduler];
+        let state = &mut self.schedulers[slot.scheduler];
         let config = match slot.kind {
-            ProcessKind::Primary => &one.files.config,
-            ProcessKind::Duplicate => &one.files.duplicate_config,
+            ProcessKind::Primary => &state.files.config,
+            ProcessKind::Duplicate => &state.files.duplicate_config,
         };
-        let operations = one.files.operations.as_deref();
+        let operations = state.files.operations.as_deref();
         let mut process = Process::start(&self.program, config, operations, self.descriptors)?;
         self.process_ids.push(process.id());
         let token = runtime
             .sources
             .register(process.log(), Interest::READABLE, Source::Log(slot))
-            .map_err(Error::io("the log's pipe"))?;
+            .map_err(Error::io("registering a scheduler's log pipe with the poll"))?;
         if slot.kind == ProcessKind::Primary {
-            one.is_serving = false;
+            state.is_serving = false;
         }
-        *one.process(slot.kind) = Some(RunningProcess { process, token });
+        *state.process(slot.kind) = Some(RunningProcess { process, token });
         Ok(())
     }
 
-    /// Reads what a process has logged. Its log ends with the process.
+    /// Reads new log lines of a process. End of file means that the process has ended.
     pub fn read_log(&mut self, runtime: &mut Runtime, slot: ProcessSlot) {
-        let one = &mut self.schedulers[slot.scheduler];
-        let Some(running) = one.process(slot.kind) else { return };
+        let state = &mut self.schedulers[slot.scheduler];
+        let Some(running) = state.process(slot.kind) else { return };
         let (lines, has_ended) = running.process.read_log();
         let clock = runtime.clock;
-        let at = if clock.has_traffic() { clock.since_start() } else { -1.0 };
+        let at = if clock.has_traffic() { clock.since_traffic_start() } else { -1.0 };
         let suffix = if slot.kind == ProcessKind::Duplicate { " (duplicate)" } else { "" };
         let scheduler = slot.scheduler;
         self.log.extend(
             lines.iter().map(|line| format!("{at:.0} scheduler {scheduler}{suffix}: {}", line.trim_end())),
         );
         let reports_serving = lines.iter().any(|line| line.contains(SERVING_LOG));
-        if slot.kind == ProcessKind::Primary && reports_serving && !one.is_serving {
-            one.is_serving = true;
+        if slot.kind == ProcessKind::Primary && reports_serving && !state.is_serving {
+            state.is_serving = true;
             if clock.has_traffic() {
-                let at = clock.since_start();
+                let at = clock.since_traffic_start();
                 runtime.record(HistoryEvent::Process { at, scheduler, change: ProcessEvent::Started });
             }
         }
@@ -200,7 +204,8 @@
         }
     }
 
-    /// Removes a process that has ended, or that is to be killed now.
+    /// Removes a process that has ended. If nothing had told it to end, it is reported as crashed, which
+    /// fails the run before the start of traffic.
     fn remove(&mut self, runtime: &mut Runtime, slot: ProcessSlot) {
         let Some(running) = self.schedulers[slot.scheduler].process(slot.kind).take() else { return };
         let RunningProcess { mut process, token } = running;
@@ -210,8 +215,8 @@
         }
         let log_tail = process.log_tail();
         process.kill();
-        let status = process.exit_status().map_or("it could not be waited for".into(), |s| s.to_string());
-        let description = format!("scheduler {} ended by itself, {status}: {log_tail}", slot.scheduler);
+        let status = process.exit_status().map_or("exit status unknown".into(), |s| s.to_string());
+        let description = format!("scheduler {} exited unexpectedly, {status}: {log_tail}", slot.scheduler);
         if !runtime.clock.has_traffic() {
             return runtime.fail(Error::EndedBeforeReady(description));
         }
@@ -219,17 +224,18 @@
         record_process(runtime, slot.scheduler, ProcessEvent::Killed);
     }
 
-    /// Kills a process, if it runs.
+    /// Kills a process with SIGKILL if it runs.
     pub fn kill(&mut self, runtime: &mut Runtime, slot: ProcessSlot) {
-        let at = runtime.clock.since_start();
-        let one = &mut self.schedulers[slot.scheduler];
-        if let Some(running) = one.process(slot.kind) {
+        let at = runtime.clock.since_traffic_start();
+        let state = &mut self.schedulers[slot.scheduler];
+        if let Some(running) = state.process(slot.kind) {
             running.process.kill();
-            one.killed_at = at;
+            state.killed_at = at;
             let scheduler = slot.scheduler;
             runtime.record(HistoryEvent::Process { at, scheduler, change: ProcessEvent::Killed });
             if slot.kind == ProcessKind::Duplicate {
-                // The primary process goes on.
+                // The history has no entry per process, so the scheduler is recorded as started: its primary
+                // process still runs.
                 let at = at + 1.0;
                 runtime.record(HistoryEvent::Process { at, scheduler, change: ProcessEvent::Started });
             }
@@ -253,17 +259,18 @@
         }
     }
 
-    /// Processor time of all processes so far, in milliseconds.
+    /// CPU time that the running processes have used so far, in milliseconds.
     pub fn cpu_ms(&self) -> f64 {
-        let running = self.schedulers.iter().flat_map(|one| [&one.primary, &one.duplicate]).flatten();
+        let running = self.schedulers.iter().flat_map(|state| [&state.primary, &state.duplicate]).flatten();
         running.filter_map(|running| running.process.cpu_ms()).sum()
     }
 
-    /// Calls the admin endpoint of each primary process; one answers in one turn of its loop.
+    /// Calls the admin endpoint of each primary process and waits for the reply. This blocks the event loop,
+    /// but not for long: a scheduler replies within one iteration of its own event loop.
     pub fn call_admin_endpoints(&self, command: &str) -> Vec<AdminReply> {
-        let running = self.schedulers.iter().enumerate().filter(|(_, one)| one.primary.is_some());
-        let call = |(scheduler, one): (usize, &Scheduler)| {
-            let text = call_admin_endpoint(one.reserved.addresses.admin, command).ok()?;
+        let running = self.schedulers.iter().enumerate().filter(|(_, state)| state.primary.is_some());
+        let call = |(scheduler, state): (usize, &Scheduler)| {
+            let text = call_admin_endpoint(state.reserved.addresses.admin, command).ok()?;
             Some(AdminReply { scheduler, text })
         };
         running.filter_map(call).collect()
@@ -271,7 +278,7 @@
 }
 
 fn record_process(runtime: &mut Runtime, scheduler: usize, change: ProcessEvent) {
-    let at = runtime.clock.since_start();
+    let at = runtime.clock.since_traffic_start();
     runtime.record(HistoryEvent::Process { at, scheduler, change });
 }
 
--- a/crates/test-cluster/src/cluster/timers.rs
+++ b/crates/test-cluster/src/cluster/timers.rs
@@ -4,57 +4,58 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// What is to be done at a time.
+/// An action of the event loop that is due at a certain time.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Timer {
-    /// Something arrives on a connection.
+    /// Deliver the packets that have arrived on a connection.
     Arrival(ConnectionId),
-    /// A datagram arrives.
+    /// Deliver a datagram.
     Datagram {
         /// The sending scheduler.
         from: usize,
-        /// The receiving one.
+        /// The receiving scheduler.
         to: usize,
-        /// Its content.
+        /// The payload.
         bytes: Vec<u8>,
     },
-    /// A worker ends an execution.
+    /// Complete the workers' executions that are due.
     WorkerProgress,
-    /// Overloaded discovery answers its next request.
+    /// Answer the next queued request to discovery, while it is overloaded.
     DiscoveryRequest,
-    /// Discovery announces a change.
+    /// Publish the changes to the endpoint list that are due.
     EndpointChange,
-    /// Watches get an empty line.
+    /// Send a keep-alive line on each watch.
     WatchKeepAlive,
-    /// A client creates a job.
+    /// Create the next job.
     NextJob,
-    /// A client sends a request for a job.
+    /// Send a client's request for a job.
     Request {
-        /// The job.
+        /// Index of the job.
         job: usize,
     },
-    /// A client stops waiting for a request.
+    /// Abort a client's request if it is still without a response.
     RequestTimeout {
-        /// Its job.
+        /// Index of the job.
         job: usize,
-        /// Its id.
+        /// Id of the request.
         request: String,
     },
-    /// A client's connection must be up.
+    /// Abort a client's connection if it is still not established.
     ConnectTimeout(ConnectionId),
-    /// The front proxy checks the schedulers.
+    /// Start a health check of each scheduler.
     HealthChecks,
-    /// A health check must be answered.
+    /// Abort a health check that is still without a response.
     HealthCheckTimeout(ConnectionId),
-    /// A fault begins.
+    /// Begin the scenario's fault with this index.
     FaultBegins(usize),
-    /// A fault ends.
+    /// End the scenario's fault with this index.
     FaultEnds(usize),
-    /// All schedulers must serve.
+    /// Fail the run if the cluster is still not ready.
     StartTimeout,
 }
 
-/// A timer and its time; timers of one time keep the order in which they were scheduled.
+/// A timer with its due time. Timers that are due at the same time fire in the order in which they were
+/// scheduled.
 struct Scheduled {
     due_us: u64,
     sequence: u64,
@@ -84,7 +85,7 @@
     }
 }
 
-/// All timers, by their time on the cluster's clock.
+/// The pending timers, by cluster time.
 #[derive(Default)]
 pub struct TimerQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
@@ -92,19 +93,19 @@
 }
 
 impl TimerQueue {
-    /// Adds a timer.
+    /// Adds a timer that is due at cluster time `at`.
     pub fn schedule(&mut self, at: Millis, timer: Timer) {
         self.last_sequence += 1;
         let due_us = (at.max(0.0) * 1_000.0).ceil() as u64;
         self.heap.push(Reverse(Scheduled { due_us, sequence: self.last_sequence, timer }));
     }
 
-    /// When the next timer is due.
+    /// Cluster time at which the next timer is due; `None` without timers.
     pub fn next_due(&self) -> Option<Millis> {
         self.heap.peek().map(|next| next.0.due())
     }
 
-    /// Takes the next timer, if it is due.
+    /// Removes and returns the next timer if it is due.
     pub fn pop_due(&mut self, now: Millis) -> Option<Timer> {
         self.next_due().filter(|&due| due <= now)?;
         self.heap.pop().map(|next| next.0.timer)
--- a/crates/test-cluster/src/cluster/worker_faults.rs
+++ b/crates/test-cluster/src/cluster/worker_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of workers: death, restart, drain, slowness and failures.
+//! Applies faults to workers: kill, restart, drain, slowdown and failures.
 
 use super::event_loop::Cluster;
 use super::fault_injector::Phase;
@@ -9,7 +9,7 @@
 use std::time::{SystemTime, UNIX_EPOCH};
 
 impl Cluster<'_> {
-    /// Begins or ends a fault of some workers.
+    /// Begins or ends a fault on some workers.
     pub fn apply_to_workers(&mut self, action: &FaultAction, nodes: &[Node], phase: Phase) {
         for node in nodes {
             let Node::Worker(worker) = *node else { continue };
@@ -32,12 +32,13 @@
         let status = if is_draining { EndpointStatus::Draining } else { EndpointStatus::Ready };
         self.discovery.change(&mut self.context, worker, status, None);
         if !is_draining {
-            let at = self.context.runtime.clock.since_start();
+            let at = self.context.runtime.clock.since_traffic_start();
             self.context.runtime.record(HistoryEvent::WorkerReady { at, worker });
         }
     }
 
-    /// A worker dies: its connections are reset, new ones are refused, and discovery learns of it.
+    /// Kills a worker: its connections are reset, new ones are refused, and discovery is told that it is
+    /// gone.
     pub fn kill_worker(&mut self, worker: usize) {
         self.workers.pool.kill(worker);
         self.update_listeners();
@@ -45,19 +46,20 @@
         self.discovery.change(&mut self.context, worker, EndpointStatus::Gone, None);
     }
 
-    /// A worker starts, or starts again.
+    /// Starts a worker, or restarts it if it is alive.
     pub fn start_worker(&mut self, worker: usize) {
         if self.workers.pool.is_alive(worker) {
             self.reset_connections_of(Node::Worker(worker));
-            // The stand-in must know of their ends before the worker is a new one.
+            // The stand-in must process the ends of the old connections before the new worker's state
+            // replaces the old.
             self.dispatch_network_events();
         }
-        let at = self.context.runtime.clock.since_start();
+        let at = self.context.runtime.clock.since_traffic_start();
         self.workers.pool.start(at, worker);
         self.update_listeners();
         let started_at = Some(unix_time().floor());
         self.discovery.change(&mut self.context, worker, EndpointStatus::Ready, started_at);
-        self.workers.carry_out_progress(&mut self.context);
+        self.workers.apply_progress(&mut self.context);
     }
 }
 
--- a/crates/test-cluster/src/cluster/worker_stand_in.rs
+++ b/crates/test-cluster/src/cluster/worker_stand_in.rs
@@ -1,4 +1,4 @@
-//! The workers' connections.
+//! Plays the workers: passes attempts from their connections to the worker pool, and sends its replies.
 
 use super::connection::Connection;
 use super::context::Context;
@@ -12,37 +12,39 @@
 use serde_json::json;
 use std::collections::HashSet;
 
-/// The workers and their connections.
+/// The worker pool and the state of the connections to it.
 pub struct WorkerStandIn {
     pub pool: WorkerPool,
-    /// Connections on which the head of the current response has been sent.
+    /// Connections on which the head (status line and headers) of the current response has been sent.
     head_sent: HashSet<ConnectionId>,
 }
 
-/// What is known of an attempt beside its request.
-struct Received {
+/// The circumstances in which an attempt was received. Both times are traffic time.
+struct ReceivedAttempt {
     connection: ConnectionId,
     scheduler: usize,
     worker: usize,
+    /// When its last byte arrived.
     at: Millis,
+    /// When the scheduler sent its first byte.
     sent_at: Millis,
 }
 
 impl WorkerStandIn {
-    /// Warm, idle workers.
+    /// Creates the scenario's workers, idle and at full capacity.
     pub fn new(scenario: &Scenario) -> WorkerStandIn {
         WorkerStandIn { pool: WorkerPool::new(scenario), head_sent: HashSet::new() }
     }
 
-    /// Ends the executions that are due.
+    /// Completes the executions that are due.
     pub fn handle_timeout(&mut self, context: &mut Context) {
-        let at = context.runtime.clock.since_start();
+        let at = context.runtime.clock.since_traffic_start();
         self.pool.handle_timeout(at, &mut context.runtime.rng);
-        self.carry_out_progress(context);
+        self.apply_progress(context);
     }
 
-    /// Sends and records what workers did, and schedules what they do next.
-    pub fn carry_out_progress(&mut self, context: &mut Context) {
+    /// Sends the workers' replies, records their events, and schedules their next timeout.
+    pub fn apply_progress(&mut self, context: &mut Context) {
         let Progress { replies, events } = self.pool.take_progress();
         context.runtime.history.extend(events);
         for (id, reply) in replies {
@@ -52,7 +54,7 @@
         }
         let clock = context.runtime.clock;
         if let Some(next) = self.pool.next_timeout().filter(|_| clock.has_traffic()) {
-            context.runtime.timers.schedule(clock.time_of(next), Timer::WorkerProgress);
+            context.runtime.timers.schedule(clock.cluster_time_of(next), Timer::WorkerProgress);
         }
     }
 
@@ -79,15 +81,15 @@
         context.send(id, bytes);
     }
 
-    /// Adds the head of a response before its first line.
+    /// Appends the head of a response if it has not been sent yet.
     fn push_head(&mut self, bytes: &mut Vec<u8>, id: ConnectionId) {
         if self.head_sent.insert(id) {
             bytes.extend_from_slice(http::CHUNKED_HEAD);
         }
     }
 
-    fn handle_attempt(&mut self, context: &mut Context, received: Received, request: &Request) {
-        let Received { connection, scheduler, worker, at, sent_at } = received;
+    fn handle_attempt(&mut self, context: &mut Context, received: ReceivedAttempt, request: &Request) {
+        let ReceivedAttempt { connection, scheduler, worker, at, sent_at } = received;
         let Some(id) = request.header("x-trace-id") else {
             return context.send(connection, http::NOT_FOUND);
         };
@@ -110,15 +112,15 @@
             run_time,
         };
         self.pool.handle_attempt(at, worker, attempt, &mut context.runtime.rng);
-        self.carry_out_progress(context);
+        self.apply_progress(context);
     }
 }
 
 impl StandIn for WorkerStandIn {
     fn handle_input(&mut self, context: &mut Context, id: ConnectionId) {
-        let at = context.runtime.clock.since_start();
+        let at = context.runtime.clock.since_traffic_start();
         let Some(connection) = context.network.get_mut(id) else { return };
-        let Node::Worker(worker) = connection.far else { return };
+        let Node::Worker(worker) = connection.remote_node else { return };
         let Some(request) = http::take_request(&mut connection.input) else { return };
         let sent_at = connection.first_byte_at.take().unwrap_or(at);
         let scheduler = connection.scheduler;
@@ -126,15 +128,15 @@
         if request.target.starts_with("/alive") || request.target.starts_with("/metrics") {
             return context.send(id, http::NOT_FOUND);
         }
-        let received = Received { connection: id, scheduler, worker, at, sent_at };
+        let received = ReceivedAttempt { connection: id, scheduler, worker, at, sent_at };
         self.handle_attempt(context, received, &request);
     }
 
     fn handle_end(&mut self, context: &mut Context, id: ConnectionId, connection: Connection) {
-        let Node::Worker(worker) = connection.far else { return };
-        let at = context.runtime.clock.since_start();
+        let Node::Worker(worker) = connection.remote_node else { return };
+        let at = context.runtime.clock.since_traffic_start();
         self.head_sent.remove(&id);
         self.pool.handle_connection_end(at, worker, id, &mut context.runtime.rng);
-        self.carry_out_progress(context);
+        self.apply_progress(context);
     }
 }
