--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Why the program ends with an error. The texts are what it prints.
+//! Errors that end the program. Their texts are printed on standard error.
 
 #[cfg(test)]
 mod tests;
@@ -9,21 +9,21 @@
 use std::io;
 use std::path::PathBuf;
 
-/// Why the configuration or the operators' settings can't be loaded.
+/// The reason why the configuration or the operators' file can't be loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// Neither the command line nor the environment names a configuration.
+    /// Neither the command line nor the environment names a configuration file.
     #[error("no configuration: give --config FILE or set PROXY_CONFIG")]
     NoConfiguration,
     /// A file can't be read.
     #[error("{}: {source}", .path.display())]
     ReadFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// A file has an error.
+    /// A file is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
 }
@@ -31,13 +31,13 @@
 /// An error that ends the program.
 #[derive(Debug, thiserror::Error)]
 pub enum ProgramError {
-    /// The configuration or the operators' settings can't be loaded.
+    /// The configuration or the operators' file can't be loaded.
     #[error(transparent)]
     Load(#[from] LoadError),
-    /// The scheduler can't start or go on.
+    /// The scheduler can't start, or its poll failed later.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// A call at an admin endpoint failed.
+    /// A call to an admin endpoint failed.
     #[error(transparent)]
     AdminCall(#[from] AdminCallError),
 }
--- a/crates/daemon/src/error/tests.rs
+++ b/crates/daemon/src/error/tests.rs
@@ -1,18 +1,18 @@
-//! The texts that the program prints.
+//! Error texts that the program prints.
 
 use super::*;
 
-fn refused() -> io::Error {
+fn connection_refused() -> io::Error {
     io::Error::from(io::ErrorKind::ConnectionRefused)
 }
 
 #[test]
-fn errors_of_loading_are_printed_with_the_file() {
-    let missing = LoadError::ReadFile { path: "site.json".into(), source: refused() };
+fn load_errors_are_printed_with_the_file() {
+    let unreadable = LoadError::ReadFile { path: "site.json".into(), source: connection_refused() };
     let invalid = LoadError::Config(ConfigError::NoClasses { file: "site.json".into() });
     let cases = [
         (LoadError::NoConfiguration, "no configuration: give --config FILE or set PROXY_CONFIG".to_owned()),
-        (missing, format!("site.json: {}", refused())),
+        (unreadable, format!("site.json: {}", connection_refused())),
         (invalid, "site.json: settings.classes is empty".to_owned()),
     ];
     for (error, text) in cases {
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn errors_of_an_admin_call_are_printed_with_the_address() {
+fn admin_call_errors_are_printed_with_the_address() {
     let address = || "127.0.0.1:1".to_owned();
     let cases = [
         (
@@ -29,8 +29,8 @@
             "--control \"x\" is not an address with a port".to_owned(),
         ),
         (
-            AdminCallError::Connection { address: address(), source: refused() },
-            format!("127.0.0.1:1: {}", refused()),
+            AdminCallError::Connection { address: address(), source: connection_refused() },
+            format!("127.0.0.1:1: {}", connection_refused()),
         ),
         (
             AdminCallError::Rejected { address: address(), reply: "error unknown call".into() },
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn errors_of_the_start_keep_their_texts() {
+fn start_errors_are_printed_without_additions() {
     assert_eq!(
         ProgramError::from(StartError::NoLinkAddress).to_string(),
         "handover.links: no address for this scheduler's number"
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The job scheduler brackenledge: the command line.
+//! Command line of the job scheduler `brackenledge`.
 
 mod admin_call;
 mod error;
@@ -71,7 +71,7 @@
     log_level: LogLevel,
 }
 
-/// The least severe log lines that are written.
+/// The lowest severity of log lines that are written.
 #[derive(Clone, Copy, clap::ValueEnum)]
 enum LogLevel {
     Warning,
@@ -90,16 +90,17 @@
 }
 
 impl Options {
-    /// Reads the configuration.
-    fn load(&self) -> Result<Config, LoadError> {
+    /// Reads the configuration file and applies the overrides of the command line and the environment.
+    fn load_config(&self) -> Result<Config, LoadError> {
         let Options { config, name, listen, discovery, control, .. } = self.clone();
         let path = config.ok_or(LoadError::NoConfiguration)?;
         let text = read_file(&path)?;
         Ok(Config::parse(&path, &text, Overrides { name, listen, discovery, control })?)
     }
 
-    /// Reads the operators' settings and validates them against the configuration; without a file, the defaults.
-    fn operations(&self, config: &Config) -> Result<Operations, LoadError> {
+    /// Reads the operators' file and validates it against the configuration. Without a file, the defaults
+    /// apply.
+    fn load_operations(&self, config: &Config) -> Result<Operations, LoadError> {
         let Some(path) = &self.operations else { return Ok(Operations::default()) };
         let operations = Operations::parse(path, &read_file(path)?)?;
         let deployment = Deployment {
@@ -116,22 +117,23 @@
     std::fs::read_to_string(path).map_err(|source| LoadError::ReadFile { path: path.to_owned(), source })
 }
 
-/// Lines queued for the log's own thread; beyond that they are counted and dropped, so that whoever reads
-/// standard error slowly never holds up the event loop.
-const LOG_QUEUE: usize = 1_024;
+/// Maximum number of lines queued for the logging thread. Further lines are dropped and counted, so that a
+/// slow reader of standard error never blocks the event loop.
+const LOG_QUEUE_LEN: usize = 1_024;
 
 fn logger(level: LogLevel) -> (Logger, slog_async::AsyncGuard) {
-    // By lines: standard error itself would take each field of a line by several writes.
+    // Standard error is unbuffered: without a line buffer, each field of a line would take several writes.
     let decorator = slog_term::PlainDecorator::new(std::io::LineWriter::new(std::io::stderr()));
     let drain = slog_term::FullFormat::new(decorator).use_utc_timestamp().build().ignore_res();
     let (drain, guard) = slog_async::Async::new(drain)
-        .chan_size(LOG_QUEUE)
+        .chan_size(LOG_QUEUE_LEN)
         .overflow_strategy(slog_async::OverflowStrategy::DropAndReport)
         .build_with_guard();
     (Logger::root(drain.filter_level(level.into()).fuse(), o!()), guard)
 }
 
-/// Makes a call at a scheduler's admin endpoint and prints the rows of its reply, as columns or as objects.
+/// Makes a call to a scheduler's admin endpoint and prints the rows of its reply, as columns or as JSON
+/// objects.
 fn print_status(call: &str, options: &StatusOptions) -> Result<(), ProgramError> {
     for line in admin_call::call(&options.control, call)? {
         let row: Vec<(&str, &str)> = line.split(' ').filter_map(|pair| pair.split_once('=')).collect();
@@ -154,15 +156,15 @@
 fn run(command: Command) -> Result<(), ProgramError> {
     match command {
         Command::Serve(options) => {
-            let config = options.load()?;
-            let operations = options.operations(&config)?;
+            let config = options.load_config()?;
+            let operations = options.load_operations(&config)?;
             let (log, _guard) = logger(options.log_level);
-            let reload = || options.load();
+            let reload = || options.load_config();
             Ok(net::serve(config, operations, &reload, log)?)
         }
         Command::Check(options) => {
-            let config = options.load()?;
-            options.operations(&config)?;
+            let config = options.load_config()?;
+            options.load_operations(&config)?;
             println!("{config}");
             Ok(())
         }
--- a/crates/daemon/src/net/admin_endpoint.rs
+++ b/crates/daemon/src/net/admin_endpoint.rs
@@ -1,9 +1,11 @@
-//! The admin endpoint: a listener of its own; each connection carries one line with a call and one reply.
+//! The operators' admin endpoint. It has its own listener; each connection carries a call of one line and its
+//! reply.
 //!
-//! Admin clients are connections on the same event loop as the jobs' clients, so an answer never waits for another
-//! client. A client that sends no whole line is closed after a timeout, or earlier if a newer one needs its place:
-//! the endpoint holds at most `max_clients` connections of [`control::MAX_LINE_BYTES`] bytes each. The calls are parsed in
-//! `protocol::control`; the drain's states are the engine's.
+//! Admin connections are non-blocking and share the event loop with the other connections, so a reply never
+//! waits for another client. A connection without a complete line is closed after a timeout, or earlier to
+//! make room for a new one: the endpoint has at most `max_clients` connections, with up to
+//! [`control::MAX_LINE_BYTES`] bytes of input each. `protocol::control` parses the calls, and `engine::drain`
+//! has the states of a drain.
 
 use super::Context;
 use super::buffered_stream::BufferedStream;
@@ -16,21 +18,21 @@
 use slab::Slab;
 use std::rc::Rc;
 
-/// A client that does not read its reply is closed this long, in milliseconds, after the timeout for its line.
+/// A connection whose reply is not read is closed this long, in milliseconds, after the timeout for its line.
 const UNREAD_REPLY_TIMEOUT: Millis = 1_000.0;
 
-/// The reply to a call on the cluster where the cluster is off.
-const CLUSTER_IS_OFF: &str = "error the tier is off: set tier.on in the operators' file\n";
-/// The reply to `ZONES` where zone routing is off.
-const ZONE_ROUTING_IS_OFF: &str = "error zones are off: set zones.on in the operators' file\n";
+/// Reply to `MEMBERS` and `DUTIES` if the cluster is off.
+const CLUSTER_OFF_REPLY: &str = "error the tier is off: set tier.on in the operators' file\n";
+/// Reply to `ZONES` if zone routing is off.
+const ZONE_ROUTING_OFF_REPLY: &str = "error zones are off: set zones.on in the operators' file\n";
 
-/// One admin client's connection.
+/// The connection of an admin client.
 struct AdminClient {
     stream: BufferedStream,
     accepted_at: Millis,
-    /// Its place in the order of arrival, since clients accepted in one turn have the same `accepted_at`.
+    /// Number in the order of acceptance: connections accepted in the same turn have the same `accepted_at`.
     serial: u64,
-    /// The reply is in the output buffer: further input is discarded.
+    /// Whether the reply is in the output buffer. Further input is then discarded.
     replied: bool,
     class_names: Rc<[String]>,
 }
@@ -41,7 +43,7 @@
         self.replied = true;
     }
 
-    /// The lines of `INFO`.
+    /// Returns the lines of the reply to `INFO`.
     fn info_lines(&self, cx: &Context) -> Vec<String> {
         let Availability { listed, ready } = cx.endpoints.availability();
         let gauges = Gauges {
@@ -61,18 +63,18 @@
         match call {
             Call::Ping if cx.endpoints.can_serve() => "done yes\n".into(),
             Call::Ping => "done no\n".into(),
-            Call::Info => lines_reply(self.info_lines(cx)),
+            Call::Info => multiline_reply(self.info_lines(cx)),
             Call::Members => match cx.cluster {
-                Some(cluster) => lines_reply(cluster.members_lines()),
-                None => CLUSTER_IS_OFF.into(),
+                Some(cluster) => multiline_reply(cluster.members_lines()),
+                None => CLUSTER_OFF_REPLY.into(),
             },
             Call::Duties => match cx.cluster {
-                Some(cluster) => lines_reply(cluster.duties_lines()),
-                None => CLUSTER_IS_OFF.into(),
+                Some(cluster) => multiline_reply(cluster.duties_lines()),
+                None => CLUSTER_OFF_REPLY.into(),
             },
             Call::Zones => match cx.zones {
-                Some(zones) => lines_reply(zones.status_lines(cx.now)),
-                None => ZONE_ROUTING_IS_OFF.into(),
+                Some(zones) => multiline_reply(zones.status_lines(cx.now)),
+                None => ZONE_ROUTING_OFF_REPLY.into(),
             },
             Call::LameDuck => format!("done {}\n", cx.drain.lame_duck(cx.now).reply_text()),
             Call::Rejoin => format!("done {}\n", cx.drain.rejoin().reply_text()),
@@ -80,8 +82,8 @@
     }
 }
 
-/// A reply of several lines: between `done` and `end`.
-fn lines_reply(lines: Vec<String>) -> String {
+/// Formats a reply of several lines, enclosed by the lines `done` and `end`.
+fn multiline_reply(lines: Vec<String>) -> String {
     let lines: String = lines.into_iter().map(|line| line + "\n").collect();
     format!("done\n{lines}end\n")
 }
@@ -106,7 +108,7 @@
                 let reply = self.execute(call, cx);
                 self.reply(&reply);
             }
-            // A second line after the reply gets no error: nothing follows a reply.
+            // The reply is the last output of a connection, so a second line after it gets no error.
             Parsed::Rejected(_) if self.replied => {}
             Parsed::Rejected(error) => self.reply(&control::error_reply(error)),
         }
@@ -114,8 +116,8 @@
         Flow::Keep
     }
 
-    /// The end of the input ends the line too. The reply is written as far as the socket accepts it now, since the
-    /// connection closes after this.
+    /// The end of the input also ends the line. As much of the reply is written as the socket accepts at
+    /// once, since the connection is closed after this call.
     fn on_end(&mut self, cx: &mut Context) {
         let input = self.stream.buffer.input();
         if self.replied || input.is_empty() {
@@ -136,19 +138,19 @@
     }
 }
 
-/// The endpoint's listener and its clients.
+/// The endpoint's listener and connections.
 pub struct AdminEndpoint {
     listener: TcpListener,
     clients: Slab<AdminClient>,
     class_names: Rc<[String]>,
-    accepted: u64,
+    accepted_count: u64,
     max_clients: usize,
     line_timeout: Millis,
 }
 
 impl AdminEndpoint {
-    /// An endpoint on a listener that is bound already. `max_clients`: connections held at once; `line_timeout`: the
-    /// time in which a client has to send its line.
+    /// Creates the endpoint on a bound listener. `max_clients`: maximum number of open connections;
+    /// `line_timeout`: time from a connection's acceptance in which its line must arrive.
     pub fn new(
         listener: TcpListener,
         class_names: Vec<String>,
@@ -159,24 +161,24 @@
             listener,
             clients: Slab::new(),
             class_names: class_names.into(),
-            accepted: 0,
+            accepted_count: 0,
             max_clients,
             line_timeout,
         }
     }
 
-    /// The listener, for the poll.
+    /// Returns the listener, to register it with the poll.
     pub fn listener(&mut self) -> &mut TcpListener {
         &mut self.listener
     }
 
-    /// Accepts the clients that wait.
+    /// Accepts all waiting connections.
     pub fn accept(&mut self, cx: &mut Context) {
         loop {
             match accept_next(&self.listener) {
                 Ok(Some(stream)) => self.add_client(stream, cx),
                 Ok(None) => return,
-                // Out of descriptors: closing one makes room, and the next sweep accepts again.
+                // Out of descriptors: closing a connection frees one, and the next sweep accepts again.
                 Err(_) => {
                     self.close_oldest(cx);
                     return;
@@ -185,68 +187,68 @@
         }
     }
 
-    /// Adds a client. Where there are `max_clients` already, the oldest one is closed.
+    /// Adds a connection. If there are `max_clients` already, the oldest one is closed first.
     fn add_client(&mut self, stream: TcpStream, cx: &mut Context) {
         if self.clients.len() >= self.max_clients {
             self.close_oldest(cx);
         }
-        self.accepted += 1;
+        self.accepted_count += 1;
         let entry = self.clients.vacant_entry();
-        let at = entry.key();
+        let slot = entry.key();
         let client = entry.insert(AdminClient {
             stream: BufferedStream::new(stream),
             accepted_at: cx.now,
-            serial: self.accepted,
+            serial: self.accepted_count,
             replied: false,
             class_names: Rc::clone(&self.class_names),
         });
-        if cx.event_loop.register(&mut client.stream.socket, Owner::AdminClient(at)).is_err() {
-            self.clients.remove(at);
+        if cx.event_loop.register(&mut client.stream.socket, Owner::AdminClient(slot)).is_err() {
+            self.clients.remove(slot);
             return;
         }
-        // Input that came with the connection is answered in this turn.
-        self.on_ready(at, cx);
+        // Input that has already arrived is handled in this turn.
+        self.on_ready(slot, cx);
     }
 
     fn close_oldest(&mut self, cx: &mut Context) {
-        let oldest = self.clients.iter().min_by_key(|(_, client)| client.serial).map(|(at, _)| at);
-        if let Some(at) = oldest {
-            self.remove(at, cx);
+        let oldest = self.clients.iter().min_by_key(|(_, client)| client.serial).map(|(slot, _)| slot);
+        if let Some(slot) = oldest {
+            self.remove(slot, cx);
         }
     }
 
-    /// The poll reports an event of a client.
-    pub fn on_ready(&mut self, at: usize, cx: &mut Context) {
-        let Some(client) = self.clients.get_mut(at) else { return };
+    /// Handles a readiness event of a connection.
+    pub fn on_ready(&mut self, slot: usize, cx: &mut Context) {
+        let Some(client) = self.clients.get_mut(slot) else { return };
         match drive(client, cx) {
             Flow::Keep => {}
-            Flow::Requeue => cx.event_loop.requeue(Owner::AdminClient(at)),
-            Flow::Close => self.remove(at, cx),
+            Flow::Requeue => cx.event_loop.requeue(Owner::AdminClient(slot)),
+            Flow::Close => self.remove(slot, cx),
         }
     }
 
-    /// Closes the clients that have not sent a whole line in time, and those that have not read their reply in time.
+    /// Closes the connections whose line is not complete in time or whose reply is not read in time.
     pub fn sweep(&mut self, cx: &mut Context) {
         let line_timeout = self.line_timeout;
-        let is_late = |client: &AdminClient| {
+        let is_timed_out = |client: &AdminClient| {
             let reply_timeout = if client.replied { UNREAD_REPLY_TIMEOUT } else { 0.0 };
             cx.now >= client.accepted_at + (line_timeout + reply_timeout)
         };
-        let late: Vec<usize> =
-            self.clients.iter().filter(|(_, client)| is_late(client)).map(|(at, _)| at).collect();
-        for at in late {
-            let client = &mut self.clients[at];
+        let timed_out: Vec<usize> =
+            self.clients.iter().filter(|(_, client)| is_timed_out(client)).map(|(slot, _)| slot).collect();
+        for slot in timed_out {
+            let client = &mut self.clients[slot];
             if !client.replied {
-                // Written as far as the socket accepts it now: the connection closes in any case.
+                // As much is written as the socket accepts at once, since the connection is closed next.
                 client.reply(&control::error_reply(LineError::TooSlow));
                 let _ = client.stream.flush();
             }
-            self.remove(at, cx);
+            self.remove(slot, cx);
         }
     }
 
-    fn remove(&mut self, at: usize, cx: &mut Context) {
-        let mut client = self.clients.remove(at);
+    fn remove(&mut self, slot: usize, cx: &mut Context) {
+        let mut client = self.clients.remove(slot);
         cx.event_loop.deregister(&mut client.stream.socket);
     }
 }
--- a/crates/daemon/src/net/counters.rs
+++ b/crates/daemon/src/net/counters.rs
@@ -1,10 +1,10 @@
-//! The log event with what was done since the start.
+//! The log event with the counters since startup.
 
 use super::scheduler::Scheduler;
 use slog::info;
 
 impl Scheduler<'_> {
-    /// Logs the counters since the start as this event.
+    /// Logs the counters since startup, with `event` as the event's name.
     pub(super) fn log_counters(&self, event: &'static str) {
         let stats = self.engine.stats();
         let jobs = stats.totals();
--- a/crates/daemon/src/net/mod.rs
+++ b/crates/daemon/src/net/mod.rs
@@ -1,18 +1,20 @@
-//! The scheduler's process: sockets, timers and signals around the state machines of the other crates.
+//! The scheduler process: sockets, timers and signals for the state machines of the other crates, which do no
+//! I/O themselves.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
 //! | `startup`, `listener`, `start_error` | opens the sockets and builds the scheduler |
 //! | `connector` | opens outgoing connections |
-//! | `scheduler` | the parts of a scheduler, and the `Context` that callbacks get |
-//! | `event_loop`, `buffered_stream` | the poll, the clock, the alarms; what a connection is |
-//! | `events`, `signals` | hand socket events, alarms and signals to the parts |
+//! | `scheduler` | the components of a scheduler, and the `Context` passed to callbacks |
+//! | `event_loop`, `buffered_stream` | the poll, the clock and the alarms; buffered connections |
+//! | `events`, `signals` | dispatch socket events, alarms and signals to the components |
 //! | `commands` | executes the commands of the engine, discovery and failover |
-//! | `counters` | the log's periodic counters |
+//! | `counters` | logs the counters |
 //! | `frontend`, `backend`, `discovery` | connections with clients, workers and discovery |
-//! | `admin_endpoint` | the operators' calls |
+//! | `admin_endpoint` | the operators' admin endpoint |
 //! | `peer_socket`, `peer_dispatch`, `peer_links` | datagrams and links between schedulers |
-//! | `cluster`, `epoch_store`, `job_failover`, `zone_routing` | the cluster's state machines on sockets (off by default) |
+//! | `cluster`, `epoch_store` | membership and leases, and their durable epoch (off by default) |
+//! | `job_failover`, `zone_routing` | failover of jobs and routing between zones (off by default) |
 
 mod admin_endpoint;
 mod backend;
@@ -47,11 +49,11 @@
 use mio::Events;
 use slog::Logger;
 
-/// Events taken from one poll, at least. There is room for one from each descriptor: otherwise an event that came in
-/// time could be handled after the alarm of its timeout.
+/// Minimum capacity for the events of one poll. Otherwise the capacity is one event per descriptor: with
+/// less, an event that came in time could be handled after the alarm of its timeout.
 const MIN_EVENTS_PER_POLL: usize = 256;
 
-/// Runs a scheduler until SIGTERM has come and no job is pending.
+/// Runs a scheduler until SIGTERM or SIGINT has been received and the graceful shutdown is complete.
 pub fn serve(config: Config, operations: Operations, reload: Reload, log: Logger) -> Result<(), StartError> {
     let mut events = Events::with_capacity(config.sockets.max(MIN_EVENTS_PER_POLL));
     let mut scheduler = Scheduler::start(config, operations, reload, log)?;
--- a/crates/daemon/src/net/scheduler.rs
+++ b/crates/daemon/src/net/scheduler.rs
@@ -1,4 +1,4 @@
-//! The parts of a scheduler, and what its connections and alarms may reach of them.
+//! The components of a scheduler, and the context through which callbacks access them.
 
 use super::admin_endpoint::AdminEndpoint;
 use super::backend::Backend;
@@ -18,51 +18,56 @@
 use slog::Logger;
 use std::net::SocketAddr;
 
-/// How long the last messages to other schedulers may take at the end, in milliseconds: several round trips.
+/// Time, in milliseconds, for sending the last messages to other schedulers before the exit. It allows for
+/// several round trips.
 const FINAL_FLUSH_TIMEOUT: Millis = 300.0;
 
-/// What a callback of a connection may reach of the scheduler.
+/// The parts of the scheduler that the callbacks of its connections may use.
 pub struct Context<'a> {
+    /// The time at which the context was created.
     pub(super) now: Millis,
     pub(super) engine: &'a mut Engine,
     pub(super) endpoints: &'a mut EndpointDirectory,
     pub(super) placement_names: &'a PlacementNames,
     pub(super) event_loop: &'a mut EventLoop,
     pub(super) log: &'a Logger,
-    /// Until when pooled connections are not trusted.
+    /// Until this time idle worker connections are not reused, because a reused one was reset before its
+    /// response began.
     pub(super) reuse_suspended_until: &'a mut Millis,
-    /// The graceful shutdown, once SIGTERM has come.
+    /// The graceful shutdown, once SIGTERM or SIGINT has been received.
     pub(super) shutdown: Option<Shutdown>,
     /// Whether the operators have taken this scheduler out of rotation.
     pub(super) drain: &'a mut Drain,
-    /// Membership and leases, where the cluster is on.
+    /// Membership and leases; `None` if the cluster is off.
     pub(super) cluster: &'a mut Option<Cluster>,
-    /// Jobs that other schedulers take over if this one is lost, where failover is on.
+    /// Jobs that other schedulers take over if this one is lost; `None` if failover is off.
     pub(super) job_failover: &'a mut Option<JobFailover>,
-    /// The costs of routes between zones, where zone routing is on.
+    /// Costs of the routes between zones; `None` if zone routing is off.
     pub(super) zones: &'a mut Option<ZoneRouting>,
 }
 
 impl Context<'_> {
-    /// Jobs that clients wait for here.
+    /// Number of jobs whose clients wait for a response from this scheduler.
     pub(super) fn pending_jobs(&self) -> usize {
         self.engine.pending_jobs() + self.job_failover.as_ref().map_or(0, JobFailover::waiting_clients)
     }
 
-    /// Whether the graceful shutdown is so far that each connection closes with its answer.
+    /// Whether the graceful shutdown is in the phase in which each connection closes after its response.
     pub(super) fn is_closing_connections(&self) -> bool {
         self.shutdown.is_some_and(|shutdown| shutdown.is_closing_connections(self.now))
     }
 
-    /// The time, in milliseconds, that a job arriving now may take.
+    /// Maximum time, in milliseconds, that a shutdown allows a job arriving now; infinite without a
+    /// shutdown.
     pub(super) fn time_left(&self) -> Millis {
         self.shutdown.map_or(f64::INFINITY, |shutdown| shutdown.time_left(self.now))
     }
 }
 
-/// One scheduler: its state machines, its connections and its event loop.
+/// A scheduler: its state machines, connections and event loop.
 ///
-/// Invariant: after each event and alarm, `execute_commands` has executed all commands of the state machines.
+/// Invariant: after each event or alarm, `execute_commands` executes all commands of the state machines
+/// before the next one is handled.
 pub(super) struct Scheduler<'a> {
     pub(super) event_loop: EventLoop,
     pub(super) engine: Engine,
@@ -78,24 +83,25 @@
     pub(super) job_failover: Option<JobFailover>,
     pub(super) zones: Option<ZoneRouting>,
     pub(super) peer_links: Option<PeerLinks>,
-    /// When no job was pending any more, after SIGTERM.
+    /// During a graceful shutdown, when it was first found that no work is pending.
     pub(super) idle_since: Option<Millis>,
     pub(super) signals: Signals,
-    /// Reads the configuration again.
+    /// Reads the configuration again, on SIGHUP.
     pub(super) reload: Reload<'a>,
-    /// Discovery's address as the configuration file had it last.
+    /// The address of discovery that the configuration file last stated.
     pub(super) configured_discovery: Option<SocketAddr>,
-    /// The longest deadline of a class, in milliseconds.
+    /// The longest deadline of all classes, in milliseconds.
     pub(super) max_deadline: Millis,
-    /// The graceful shutdown, once SIGTERM has come.
+    /// The graceful shutdown, once SIGTERM or SIGINT has been received.
     pub(super) shutdown: Option<Shutdown>,
-    /// Until when pooled connections are not trusted.
+    /// Until this time idle worker connections are not reused, because a reused one was reset before its
+    /// response began.
     pub(super) reuse_suspended_until: Millis,
     pub(super) log: Logger,
 }
 
-/// The `Context` of a scheduler. A macro, so that only the fields in it are borrowed and the connections beside them
-/// can be called with it.
+/// Creates the `Context` of a scheduler. It is a macro so that only the fields in the context are borrowed,
+/// and methods of the other fields, such as the frontend, can be called with it.
 macro_rules! context {
     ($scheduler:ident) => {
         $crate::net::scheduler::Context {
@@ -117,14 +123,16 @@
 pub(super) use context;
 
 impl Scheduler<'_> {
-    /// Ends the graceful shutdown if no job is pending, no connection waits to be accepted, and the last messages to other
-    /// schedulers are sent or their time is over. Returns whether the program may exit.
+    /// Completes the graceful shutdown if no job is pending, no connection waits to be accepted, and the last
+    /// messages to other schedulers have been sent or their time is over. Returns whether the process may
+    /// exit.
     pub(super) fn try_finish(&mut self) -> bool {
         let Some(shutdown) = self.shutdown else { return false };
         if !shutdown.is_closing_connections(self.event_loop.now()) || self.has_pending_work() {
             return false;
         }
-        // The kernel has accepted the connections that wait at the listener: they are answered first.
+        // Connections in the listener's backlog are already established for their clients: they are answered
+        // before the exit.
         let cx = &mut context!(self);
         self.frontend.accept(cx);
         self.frontend.close_all_idle(cx);
@@ -147,7 +155,7 @@
         self.engine.pending_jobs() > 0 || self.frontend.has_unfinished_clients()
     }
 
-    /// Whether all that other schedulers need to know of this one's jobs has been sent.
+    /// Whether all messages about this scheduler's jobs have been sent to the other schedulers.
     fn peers_informed(&mut self) -> bool {
         self.job_failover.as_mut().is_none_or(JobFailover::flush)
             && self.peer_links.as_ref().is_none_or(PeerLinks::is_flushed)
--- a/crates/daemon/src/net/signals.rs
+++ b/crates/daemon/src/net/signals.rs
@@ -1,4 +1,4 @@
-//! Signals: SIGTERM and SIGINT shut the scheduler down, SIGHUP reads the configuration again.
+//! Signals: SIGTERM and SIGINT start the graceful shutdown, SIGHUP reloads the configuration.
 
 use super::event_loop::Alarm;
 use super::scheduler::{Scheduler, context};
@@ -13,29 +13,33 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// How the configuration is read again.
+/// Reads the configuration again, with the same command line and environment as at startup.
 pub type Reload<'a> = &'a dyn Fn() -> Result<Config, LoadError>;
 
-/// The signals that are handled. A handler sets its signal's flag, then writes to the pipe that the poll watches.
+/// The state shared with the signal handlers. A handler sets the flag of its signal, then writes to the pipe
+/// that the poll watches.
 pub(super) struct Signals {
-    /// Readable once a signal has come.
+    /// Readable once a signal has been received.
     pub(super) pipe: UnixStream,
-    shutdown: Arc<AtomicBool>,
-    reload: Arc<AtomicBool>,
+    shutdown_requested: Arc<AtomicBool>,
+    reload_requested: Arc<AtomicBool>,
 }
 
 impl Signals {
-    /// Installs the handlers.
+    /// Installs the signal handlers.
     pub(super) fn install() -> io::Result<Self> {
         let (pipe, sender) = UnixStream::pair()?;
         let sender = OwnedFd::from(std::os::unix::net::UnixStream::from(sender));
-        let (shutdown, reload) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
-        // Without a handler, SIGHUP would end the program.
-        for (signal, flag) in [(SIGTERM, &shutdown), (SIGINT, &shutdown), (SIGHUP, &reload)] {
+        let (shutdown_requested, reload_requested) =
+            (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        // Without a handler, SIGHUP would end the process.
+        for (signal, flag) in
+            [(SIGTERM, &shutdown_requested), (SIGINT, &shutdown_requested), (SIGHUP, &reload_requested)]
+        {
             signal_hook::flag::register(signal, Arc::clone(flag))?;
             signal_hook::low_level::pipe::register(signal, sender.try_clone()?)?;
         }
-        Ok(Signals { pipe, shutdown, reload })
+        Ok(Signals { pipe, shutdown_requested, reload_requested })
     }
 
     /// Empties the pipe, so that the poll reports the next signal.
@@ -46,20 +50,22 @@
 }
 
 impl Scheduler<'_> {
-    /// The poll reports a signal.
+    /// Handles the signals that the poll has reported.
     pub(super) fn on_signal(&mut self) {
         let now = self.event_loop.now();
         self.signals.drain_pipe();
-        if self.signals.reload.swap(false, Ordering::Relaxed) {
+        if self.signals.reload_requested.swap(false, Ordering::Relaxed) {
             self.reload_configuration();
         }
-        if self.signals.shutdown.swap(false, Ordering::Relaxed) && self.shutdown.is_none() {
-            // The time until SIGKILL counts from the signal, not from the end of a reload that came with it.
+        if self.signals.shutdown_requested.swap(false, Ordering::Relaxed) && self.shutdown.is_none() {
+            // `now` was read before the reload: the time until SIGKILL starts with the signal, not after a
+            // reload handled in the same call.
             self.start_shutdown(Shutdown::new(now, self.max_deadline));
         }
     }
 
-    /// Reads the configuration again. Only a new address of discovery counts; everything learned so far stays.
+    /// Reloads the configuration. Only a changed address of discovery takes effect; the endpoint list and all
+    /// other state are kept.
     fn reload_configuration(&mut self) {
         let cx = &mut context!(self);
         let previous = self.configured_discovery;
@@ -80,7 +86,8 @@
         cx.event_loop.set_alarm(shutdown.serve_until(), Alarm::Shutdown);
         cx.event_loop.set_alarm(shutdown.answer_by(), Alarm::FailPendingJobs);
         self.shutdown = Some(shutdown);
-        // Our successors in the roles that we hold need not wait until our leases expire.
+        // Released early, so that the schedulers that take over the roles need not wait for the leases to
+        // expire.
         if let (Some(cluster), Some(peer)) = (cx.cluster.as_mut(), &self.peer) {
             cluster.leave(peer, cx.log);
         }
--- a/crates/daemon/src/net/start_error.rs
+++ b/crates/daemon/src/net/start_error.rs
@@ -1,4 +1,4 @@
-//! Why a scheduler can't start or go on.
+//! Errors that prevent a scheduler from starting or end it later.
 
 #[cfg(test)]
 mod tests;
@@ -8,37 +8,37 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// What stops a scheduler that is not told to shut down.
+/// The reason why a scheduler can't start, or exits without having been told to.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The poll can't be created or fails.
+    /// The poll can't be created, or waiting for events failed.
     #[error("poll: {0}")]
     Poll(#[source] io::Error),
     /// A socket can't be bound to its address.
     #[error("{socket} {address}: {source}")]
     Bind {
-        /// The socket.
+        /// The socket, named by the key that configures it.
         socket: BoundSocket,
-        /// The address of the configuration.
+        /// The configured address.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
-    /// The handlers of signals can't be installed.
+    /// The signal handlers can't be installed.
     #[error("signals: {0}")]
     Signals(#[source] io::Error),
     /// A socket can't be registered with the poll.
     #[error("registering with the poll: {0}")]
     Register(#[source] io::Error),
-    /// The cluster's state can't be used.
+    /// The cluster's state directory can't be used.
     #[error(transparent)]
     Cluster(#[from] ClusterError),
-    /// Failover is on, and its list of links ends before this scheduler's ordinal.
+    /// Failover is enabled, but its list of link addresses has none for this scheduler's ordinal.
     #[error("handover.links: no address for this scheduler's number")]
     NoLinkAddress,
 }
 
-/// A socket that is bound at the start. Its text is the configuration's key for its address.
+/// A socket that is bound at startup. It is displayed as the configuration key of its address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BoundSocket {
     /// The listener for clients.
--- a/crates/daemon/src/net/startup.rs
+++ b/crates/daemon/src/net/startup.rs
@@ -1,4 +1,4 @@
-//! Builds a scheduler: opens its sockets, sets the first alarms and loads the cached endpoint list.
+//! Startup of a scheduler: opens its sockets, sets the first alarms and loads the cached endpoint list.
 
 use super::admin_endpoint::AdminEndpoint;
 use super::backend::Backend;
@@ -26,36 +26,37 @@
 use slog::{Logger, info};
 use std::net::SocketAddr;
 
-/// Descriptors reserved for the poll, the listeners, discovery, peers, logs and signals. The admin endpoint's clients
-/// come on top.
+/// Descriptors reserved for the poll, the listeners, discovery, peers, the log and signals. Those for admin
+/// clients are reserved in addition.
 const RESERVED_DESCRIPTORS: usize = 32;
-/// Share of the other descriptors for clients' connections. A third of all would do for their requests; the rest
-/// keeps silent connections from displacing one another before a usual client has sent its request.
-const CLIENT_SHARE: f64 = 0.55;
+/// Fraction of the other descriptors for client connections. A third would suffice for the requests of
+/// clients; with more, silent connections evict one another only after a normal client has had time to send
+/// its request.
+const CLIENT_FRACTION: f64 = 0.55;
 
-/// How many connections may be open at once.
+/// Maximum numbers of connections that are open at once.
 struct ConnectionLimits {
     clients: usize,
     workers: usize,
 }
 
 impl ConnectionLimits {
-    /// Divides the process's descriptors.
+    /// Divides the process's descriptors between client and worker connections, after the reserved ones.
     fn new(descriptors: usize, admin_clients: usize) -> Self {
-        let shared = descriptors.saturating_sub(RESERVED_DESCRIPTORS + admin_clients);
-        let clients = (CLIENT_SHARE * shared as f64) as usize;
-        ConnectionLimits { clients, workers: shared - clients }
+        let available = descriptors.saturating_sub(RESERVED_DESCRIPTORS + admin_clients);
+        let clients = (CLIENT_FRACTION * available as f64) as usize;
+        ConnectionLimits { clients, workers: available - clients }
     }
 }
 
-/// The parts of a scheduler that need no other scheduler.
+/// The components of a scheduler that do not depend on other schedulers.
 struct LocalParts {
     listener: TcpListener,
     signals: Signals,
     admin: Option<AdminEndpoint>,
 }
 
-/// The parts of a scheduler that talk to other schedulers; all are optional.
+/// The components of a scheduler that communicate with other schedulers. Each is `None` if it is off.
 struct ClusterParts {
     peer: Option<PeerSocket>,
     cluster: Option<Cluster>,
@@ -63,14 +64,14 @@
     failover: Option<FailoverParts>,
 }
 
-/// Failover's state machine and the links that it sends on.
+/// The state machine of failover, and the links over which it sends.
 struct FailoverParts {
     job_failover: JobFailover,
     links: PeerLinks,
 }
 
 impl<'a> Scheduler<'a> {
-    /// Opens all sockets and executes the first commands.
+    /// Opens all sockets, builds the scheduler and executes the first commands.
     pub(super) fn start(
         mut config: Config,
         operations: Operations,
@@ -122,8 +123,8 @@
         Ok(scheduler)
     }
 
-    /// Has the state machines make their first requests. `cached`: the endpoint list that this scheduler had before a
-    /// restart; it may be out of date.
+    /// Loads the cached endpoint list and executes the first commands of the state machines. `cached`: the
+    /// endpoint list that this scheduler had before a restart; it may be out of date.
     fn run_first_commands(&mut self, now: Millis, cached: Option<EndpointList>) {
         if let Some(list) = cached {
             let names = &self.placement_names;
@@ -137,7 +138,7 @@
     }
 }
 
-/// Opens what serves this process's clients and operators.
+/// Opens the listener for clients and the admin endpoint, and installs the signal handlers.
 fn open_local_parts(
     config: &Config,
     operations: &Operations,
@@ -183,7 +184,8 @@
     Ok(Some(admin))
 }
 
-/// Opens the sockets to other schedulers, and starts what needs them, in the order of dependence.
+/// Opens the sockets for other schedulers and starts the components that use them, each after those that it
+/// depends on.
 fn open_cluster_parts(
     peer_config: Option<PeerConfig>,
     config: &Config,
@@ -201,13 +203,15 @@
     Ok(ClusterParts { peer, cluster, zones, failover })
 }
 
-/// This scheduler's ordinal, in the 16 bits that messages between schedulers have for one. A larger one in the settings
-/// is that of no scheduler, as there are no such addresses.
+/// Returns this scheduler's ordinal in the 16 bits that messages between schedulers use for it. A larger
+/// ordinal in the settings becomes `u16::MAX`, which belongs to no scheduler, since the list of addresses has
+/// none for it.
 fn local_ordinal(settings: &Settings) -> u16 {
     u16::try_from(settings.ordinal).unwrap_or(u16::MAX)
 }
 
-/// Binds the socket for datagrams, where the settings allow messages between schedulers.
+/// Binds the socket for datagrams between schedulers; `None` if the settings do not allow them or the
+/// configuration has no address for it.
 fn open_peer_socket(
     config: Option<PeerConfig>,
     settings: &Settings,
@@ -224,7 +228,8 @@
     Ok(Some(peer))
 }
 
-/// Starts membership and leases, where the operators have them on and there is another scheduler.
+/// Starts membership and leases; `None` if the operators' file does not enable them or there is no other
+/// scheduler.
 fn join_cluster(
     peer: Option<&PeerSocket>,
     seed: u64,
@@ -254,7 +259,7 @@
     Some(zones)
 }
 
-/// Opens the listener for links and starts failover, where the operators have it on.
+/// Opens the listener for links and starts failover; `None` if the operators' file does not enable it.
 fn start_failover(
     cluster: &Cluster,
     config: &Config,
@@ -267,8 +272,8 @@
     }
     let addresses = operations.failover.links.clone();
     let ordinal = local_ordinal(settings);
-    let own = addresses.get(usize::from(ordinal)).copied().ok_or(StartError::NoLinkAddress)?;
-    let listener = bind_listener(BoundSocket::PeerLinks, own, Sharing::Shared)?;
+    let own_address = addresses.get(usize::from(ordinal)).copied().ok_or(StartError::NoLinkAddress)?;
+    let listener = bind_listener(BoundSocket::PeerLinks, own_address, Sharing::Shared)?;
     let mut links = PeerLinks::new(listener, addresses, ordinal);
     register_readable(event_loop, links.listener(), Owner::PeerLinkListener)?;
     let effects = settings.classes.iter().map(|class| class.effect);
@@ -289,7 +294,7 @@
     }
 }
 
-/// Logs the addresses as they were bound: a port 0 in the configuration is any that is free.
+/// Logs the addresses that were bound. For port 0 in the configuration, the system has chosen a free port.
 fn log_serving(
     log: &Logger,
     config: &Config,
