--- a/crates/daemon/examples/toy_server.rs
+++ b/crates/daemon/examples/toy_server.rs
@@ -1,7 +1,8 @@
-//! A toy worker and a toy discovery service in one, to try the scheduler with.
+//! A minimal worker and a minimal discovery service in one process, for trying out the scheduler.
 //!
-//! Run `cargo run -p brackenledge --example toy_server`, then a scheduler with `examples/config.json`. Every job "runs" for
-//! 100 ms and its result is its own body in capitals. It has a thread for each connection, and no limits.
+//! Run `cargo run -p brackenledge --example toy_server`, then a scheduler with `examples/config.json`. Every
+//! job takes 100 ms, and its result is its body in upper case. The server starts a thread for each
+//! connection, without a limit on their number.
 
 use serde_json::{Value, json};
 use std::io::{self, BufRead, BufReader, Read, Write};
@@ -18,13 +19,13 @@
 
 #[derive(Default)]
 struct Request {
-    /// Method, path and version, with the line's end.
+    /// Method, path and version, with the line end.
     request_line: String,
     trace_id: String,
     body: String,
 }
 
-/// The next request of a connection; `None` once it has ended.
+/// Reads the next request on a connection; `None` if the client has closed it.
 fn read_request(input: &mut BufReader<TcpStream>) -> io::Result<Option<Request>> {
     let mut request = Request::default();
     if input.read_line(&mut request.request_line)? == 0 {
@@ -51,22 +52,22 @@
     Ok(Some(request))
 }
 
-/// Writes a line as a chunk of its own.
+/// Writes a line as one chunk.
 fn write_line(output: &mut TcpStream, line: &str) -> io::Result<()> {
     output.write_all(format!("{:x}\r\n{line}\n\r\n", line.len() + 1).as_bytes())
 }
 
-/// The worker: reports each job's start, takes 100 ms, and returns the result.
+/// Serves as a worker: reports the start of each job, sleeps for 100 ms, and returns the result.
 fn serve_jobs(stream: TcpStream) -> io::Result<()> {
     let mut output = stream.try_clone()?;
     let mut input = BufReader::new(stream);
     while let Some(request) = read_request(&mut input)? {
         print!("job {}: {}", request.trace_id, request.request_line);
-        let state = |name: &str| json!({"id": request.trace_id, "from": "toy", "state": name});
+        let status_line = |state: &str| json!({"id": request.trace_id, "from": "toy", "state": state});
         output.write_all(CHUNKED_HEAD.as_bytes())?;
-        write_line(&mut output, &state("started").to_string())?;
+        write_line(&mut output, &status_line("started").to_string())?;
         thread::sleep(RUN_TIME);
-        let mut done = state("done");
+        let mut done = status_line("done");
         done["result"] = Value::from(request.body.to_uppercase());
         done["load"] = json!({"x0": 2, "x1": 2, "inflight": 1});
         write_line(&mut output, &done.to_string())?;
@@ -75,7 +76,7 @@
     Ok(())
 }
 
-/// Discovery: the list of one endpoint, then, on a watch, a keep-alive every 2 s.
+/// Serves as discovery: sends a list of one endpoint and then, on a watch, a keep-alive every 2 s.
 fn serve_endpoint_list(stream: TcpStream) -> io::Result<()> {
     let mut output = stream.try_clone()?;
     let mut input = BufReader::new(stream);
--- a/crates/daemon/tests/admin_endpoint.rs
+++ b/crates/daemon/tests/admin_endpoint.rs
@@ -1,4 +1,4 @@
-//! The operators' admin endpoint: its calls, clients of it that misbehave, the drain, and a process replaced.
+//! The operators' admin endpoint: its calls, misbehaving clients, draining, and the replacement of a process.
 #![allow(missing_docs)]
 
 mod support;
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn each_admin_call_is_answered_and_an_unknown_one_gets_an_error() {
+fn valid_admin_calls_get_replies_and_invalid_lines_get_errors() {
     let (scheduler, worker) = scheduler_with_one_worker();
     scheduler.wait_until_ready();
     assert_eq!(scheduler.admin_call(b"PING\n"), "done yes\n");
@@ -37,43 +37,43 @@
     for (line, reply) in cases {
         assert_eq!(scheduler.admin_call(line), reply, "{:?}", String::from_utf8_lossy(line));
     }
-    // None of that touched the clients' side.
+    // Invalid lines have no effect on jobs.
     drop(scheduler.assert_serves(&worker, "f2"));
     assert_eq!(scheduler.admin_call(b"PING\n"), "done yes\n");
 }
 
 #[test]
-fn clients_that_hold_or_flood_the_admin_endpoint_delay_no_reply() {
+fn many_admin_connections_with_incomplete_lines_do_not_delay_a_reply() {
     let (scheduler, _worker) = scheduler_with_one_worker();
-    // More connections than the admin endpoint holds, each with half a call, kept open.
+    // More open connections than the admin endpoint allows, each with half a line.
     let mut slow: Vec<TcpStream> = (0..40)
         .map(|_| {
             let mut connection =
                 TcpStream::connect(scheduler.admin_address).expect("the admin endpoint accepts");
-            connection.write_all(b"PI").expect("half a call");
+            connection.write_all(b"PI").expect("half a line is written");
             connection
         })
         .collect();
     let since = Instant::now();
     assert_eq!(scheduler.admin_call(b"PING\n"), "done yes\n");
-    assert!(since.elapsed() < Duration::from_secs(1), "answered after {:?}", since.elapsed());
-    // The newest of the slow ones is still open, and answered once its line is complete.
+    assert!(since.elapsed() < Duration::from_secs(1), "reply after {:?}", since.elapsed());
+    // The newest of these connections is still open, and gets its reply once its line is complete.
     let last = slow.last_mut().expect("a connection");
     last.set_read_timeout(Some(TEST_TIMEOUT)).expect("set_read_timeout");
-    last.write_all(b"NG\n").expect("the rest");
+    last.write_all(b"NG\n").expect("the rest is written");
     let mut reply = String::new();
     last.read_to_string(&mut reply).expect("a reply");
     assert_eq!(reply, "done yes\n");
-    // The oldest was evicted.
+    // The oldest has been closed to make room.
     slow[0].set_read_timeout(Some(TEST_TIMEOUT)).expect("set_read_timeout");
     assert!(is_closed(&mut slow[0]));
 }
 
 #[test]
-fn a_lame_duck_is_not_ready_closes_idle_connections_finishes_jobs_and_rejoins() {
+fn a_draining_scheduler_is_not_ready_closes_idle_connections_finishes_jobs_and_can_rejoin() {
     let (scheduler, worker) = scheduler_with_one_worker();
     scheduler.wait_until_ready();
-    // An idle connection of a client, and a job in flight on the worker's reused connection.
+    // An idle client connection, and a job in flight on a reused worker connection.
     let mut attempt = scheduler.assert_serves(&worker, "d0");
     let mut idle = scheduler.connect();
     send(&mut idle, HEALTH_REQUEST);
@@ -84,8 +84,8 @@
     assert_eq!(scheduler.admin_call(b"LAMEDUCK\n"), "done draining already\n");
     assert!(check_health(&scheduler).starts_with("HTTP/1.1 503 "));
     assert_eq!(scheduler.admin_call(b"PING\n"), "done yes\n");
-    assert!(is_closed(&mut idle), "an idle connection is closed");
-    // A job that was admitted is finished, and its connection is closed with it.
+    assert!(is_closed(&mut idle), "the idle connection is open");
+    // An admitted job is finished, and its connection is closed after the response.
     send(&mut attempt, &served_response("d1", "late"));
     let answer = read_message(&mut client);
     assert!(answer.starts_with("HTTP/1.1 200 ") && answer.contains("Connection: close\r\n"), "{answer}");
@@ -102,7 +102,7 @@
 fn a_second_process_serves_beside_the_first_which_drains_on_sigterm() {
     let worker = bind_loopback();
     let known = [endpoint("s-a", address_of(&worker), "ready")];
-    // A port the system gives, then shared by both.
+    // A free port, on which both processes then listen.
     let port = address_of(&bind_loopback()).port();
     let listen = format!("127.0.0.1:{port}");
     let start = || Launch { known: &known, listen: &listen, ..Launch::default() }.start();
@@ -110,7 +110,7 @@
     old.wait_until_ready();
     let new = start();
     assert_eq!(new.admin_call(b"PING\n"), "done yes\n");
-    assert!(old.child.try_wait().expect("a child").is_none(), "the old one runs on");
+    assert!(old.child.try_wait().expect("a child").is_none(), "the first process has exited");
     old.signal("-TERM");
     assert!(old.wait_for_exit().success());
     new.wait_until_ready();
@@ -123,12 +123,12 @@
     let worker = bind_loopback();
     let scheduler = Scheduler::start_with_descriptors(settings(), &worker, 96);
     scheduler.wait_until_ready();
-    // Far more silent clients than the process has descriptors.
-    let crowd: Vec<TcpStream> = (0..400).map(|_| scheduler.connect()).collect();
+    // Many more silent clients than the process has descriptors.
+    let silent_clients: Vec<TcpStream> = (0..400).map(|_| scheduler.connect()).collect();
     assert_eq!(scheduler.admin_call(b"PING\n"), "done yes\n");
     assert!(scheduler.admin_call(b"INFO\n").ends_with("\nend\n"));
     drop(scheduler.assert_serves(&worker, "c1"));
-    drop(crowd);
+    drop(silent_clients);
 }
 
 #[test]
@@ -137,24 +137,24 @@
     scheduler.wait_until_ready();
     for (line, reply) in [(&b"PING"[..], "done yes\n"), (b"PONG", "error unknown call\n")] {
         let mut connection = scheduler.admin_connect();
-        connection.write_all(line).expect("the call");
+        connection.write_all(line).expect("the call is written");
         connection.shutdown(Shutdown::Write).expect("shutdown");
-        let mut answer = String::new();
-        connection.read_to_string(&mut answer).expect("a reply");
-        assert_eq!(answer, reply);
+        let mut received = String::new();
+        connection.read_to_string(&mut received).expect("a reply");
+        assert_eq!(received, reply);
     }
 }
 
 #[test]
-fn cluster_calls_report_that_the_tier_is_off_and_the_command_line_passes_that_on() {
+fn cluster_calls_report_that_the_cluster_is_off_and_the_command_line_prints_that() {
     let (scheduler, _worker) = scheduler_with_one_worker();
-    let off = "error the tier is off: set tier.on in the operators' file\n";
+    let off_reply = "error the tier is off: set tier.on in the operators' file\n";
     assert_eq!(
         (scheduler.admin_call(b"MEMBERS\n"), scheduler.admin_call(b"duties\n")),
-        (off.into(), off.into())
+        (off_reply.into(), off_reply.into())
     );
-    let at = scheduler.admin_address.to_string();
-    let members = run(&["members", "--control", &at], None);
+    let address = scheduler.admin_address.to_string();
+    let members = run(&["members", "--control", &address], None);
     let message = String::from_utf8_lossy(&members.stderr).into_owned();
     assert!(!members.status.success() && message.contains("set tier.on in the operators' file"), "{message}");
     let duties = run(&["duties", "--control", "here"], None);
--- a/crates/daemon/tests/client_disconnects.rs
+++ b/crates/daemon/tests/client_disconnects.rs
@@ -166,7 +166,7 @@
     scheduler.resume();
     let received = received_within(&worker, vec![idle], ms(600));
     assert_eq!(received, "");
-    assert_eq!(scheduler.admin_figure("open_requests"), 0.0);
+    assert_eq!(scheduler.info_value("open_requests"), 0.0);
 }
 
 /// Counts the connections to or from these ports whose socket a process still has open. Connections to
--- a/crates/daemon/tests/configuration.rs
+++ b/crates/daemon/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! What the program makes of its configuration, its operations file and its command line.
+//! The configuration, the operators' file and the command line: valid ones are accepted, errors reported.
 #![allow(missing_docs)]
 
 mod support;
@@ -9,16 +9,16 @@
     settings, start_scheduler,
 };
 
-/// What a configuration must state.
+/// A configuration with only the required fields.
 fn minimal_config() -> Value {
     json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings()})
 }
 
 #[test]
 fn an_invalid_configuration_or_command_line_is_reported_in_one_line() {
-    let good = minimal_config();
+    let valid = minimal_config();
     let with = |field: &str, value: Value| {
-        let mut config = good.clone();
+        let mut config = valid.clone();
         config[field] = value;
         config
     };
@@ -30,22 +30,22 @@
         (with("settings", json!({"classes": []})), "classes"),
         (with("listen", json!(null)), "listen"),
     ];
-    for (config, named) in cases {
+    for (config, expected) in cases {
         let output = run(&["serve"], Some(&config));
         let message = String::from_utf8_lossy(&output.stderr).into_owned();
-        assert!(!output.status.success() && message.contains(named), "{message}");
+        assert!(!output.status.success() && message.contains(expected), "{message}");
         assert_eq!(message.lines().count(), 1, "{message}");
     }
     assert!(!run(&["serve"], None).status.success() && !run(&["dig"], None).status.success());
-    assert!(run(&["version"], None).status.success() && run(&["check"], Some(&good)).status.success());
+    assert!(run(&["version"], None).status.success() && run(&["check"], Some(&valid)).status.success());
 }
 
 #[test]
 fn an_invalid_admin_address_or_operations_file_fails_the_start_with_one_line_that_names_it() {
-    let good = minimal_config();
-    let mut bad_address = good.clone();
-    bad_address["control"] = json!("localhost");
-    let output = run(&["serve"], Some(&bad_address));
+    let valid = minimal_config();
+    let mut invalid_address = valid.clone();
+    invalid_address["control"] = json!("localhost");
+    let output = run(&["serve"], Some(&invalid_address));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(
         !output.status.success() && message.contains("control \"localhost\" is not an address"),
@@ -54,17 +54,17 @@
     let file = std::env::temp_dir().join(format!("operations-{}.toml", std::process::id()));
     std::fs::write(&file, "[control]\ncallers_most = 0\n").expect("the file is written");
     let path = file.to_str().expect("a path");
-    let output = run(&["serve", "--operations", path], Some(&good));
+    let output = run(&["serve", "--operations", path], Some(&valid));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
-    let named = format!("{path}:2: control.callers_most must be");
-    assert!(!output.status.success() && message.contains(&named), "{message}");
+    let expected = format!("{path}:2: control.callers_most must be");
+    assert!(!output.status.success() && message.contains(&expected), "{message}");
     assert_eq!(message.lines().count(), 1, "{message}");
-    // The file as shipped is good.
+    // The file that is shipped with the program is valid.
     let shipped = concat!(env!("CARGO_MANIFEST_DIR"), "/../../deploy/operations.toml");
-    assert!(run(&["check", "--operations", shipped], Some(&good)).status.success());
+    assert!(run(&["check", "--operations", shipped], Some(&valid)).status.success());
 }
 
-/// Operators' scripts call these: they keep their names whatever the code calls them.
+/// Operators' scripts use the names of the commands, so they must not change with names in the code.
 #[test]
 fn the_programs_commands_keep_their_names() {
     let help = run(&["--help"], None);
@@ -75,6 +75,7 @@
     assert_eq!(names, ["serve", "check", "members", "duties", "zones", "version", "help"]);
 }
 
+/// Paths of the settings that may be absent.
 const OPTIONAL_SETTINGS: [&[&str]; 17] = [
     &["limits", "cancelling"],
     &["limits", "peer-messages"],
@@ -97,7 +98,7 @@
 
 const CLASSES: [&str; 3] = ["view", "sale", "buy"];
 
-/// Effects by the key of the settings; the second one may not be executed twice.
+/// The effects as the settings name them. Jobs of the second one must not be executed twice.
 const EFFECTS: [&str; 3] = ["pure", "side_effect", "token"];
 const NOT_IDEMPOTENT: &str = "side_effect";
 
@@ -109,7 +110,7 @@
     settings
 }
 
-/// Gives each class the effect of the one so many places behind it, and removes its group.
+/// Gives each class the effect that is `shift` places after the one at its index, and removes its group.
 fn shift_effects(settings: &mut Value, shift: usize) {
     for (at, class) in settings["classes"].as_array_mut().expect("classes").iter_mut().enumerate() {
         class["effect"] = json!(EFFECTS[(at + shift) % EFFECTS.len()]);
@@ -117,7 +118,8 @@
     }
 }
 
-/// A job of each class is served, or fails at a reset if it is not idempotent, whatever the class is called.
+/// Asserts that a job of each class is served or, if the effect of its class is `side_effect`, fails after a
+/// reset. `what`: the case, for failure messages.
 fn assert_every_class_is_served(what: &str, settings: Value) {
     let effects: Vec<Value> = settings["classes"]
         .as_array()
@@ -132,7 +134,7 @@
         let mut client = scheduler.send_request(&job_request(class, &id, "x"));
         let mut attempt = accept(&worker);
         assert!(read_message(&mut attempt).contains(&format!("X-Trace-Id: {id}\r\n")), "{what}");
-        // What may have run is retried only where its effect allows that, whatever its name says.
+        // A job that may have run is retried only if the effect of its class allows that.
         if effects[at] == NOT_IDEMPOTENT {
             reset_connection(attempt);
             let answer = read_message(&mut client);
@@ -148,14 +150,14 @@
 }
 
 #[test]
-fn every_effect_is_served_under_any_class_name_without_each_optional_setting() {
+fn every_class_is_served_without_each_optional_setting_and_effects_do_not_depend_on_class_names() {
     let mut cases: Vec<(String, Value)> =
         OPTIONAL_SETTINGS.into_iter().map(|path| (path.join("."), settings_without(path))).collect();
     let mut pushed = settings();
     pushed["discovery"] = json!("pushed");
     cases.push(("pushed".into(), pushed));
     for (what, settings) in cases {
-        // No class's effect follows from its name.
+        // Shifted effects show that the effect of a class does not follow from its name.
         let shifts = if what == "limits" { 0..3 } else { 0..1 };
         for shift in shifts {
             let mut settings = settings.clone();
--- a/crates/daemon/tests/readiness.rs
+++ b/crates/daemon/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! When the scheduler says that it can serve, and what it says to jobs before that.
+//! When the scheduler becomes ready, and how it answers jobs before that.
 #![allow(missing_docs)]
 
 mod support;
@@ -12,7 +12,7 @@
 };
 
 #[test]
-fn without_workers_jobs_are_rejected_promptly() {
+fn a_job_is_rejected_within_3_s_while_no_worker_is_known() {
     let scheduler = Scheduler::start(&[]);
     let since = Instant::now();
     let answer = read_message(&mut scheduler.send_request(&job_request("sale", "i1", "")));
@@ -24,14 +24,15 @@
 fn the_health_check_succeeds_only_once_a_list_is_known() {
     let worker = bind_loopback();
     let scheduler = Scheduler::start(&[]);
-    let mut checker = scheduler.send_request(HEALTH_REQUEST);
-    assert!(read_message(&mut checker).starts_with("HTTP/1.1 503 "));
+    let mut client = scheduler.send_request(HEALTH_REQUEST);
+    assert!(read_message(&mut client).starts_with("HTTP/1.1 503 "));
     let (_, _watch) =
         scheduler.accept_watch(&[endpoint_list(2, true, &[endpoint("s-a", address_of(&worker), "ready")])]);
     scheduler.wait_until_ready();
 }
 
-/// Starts a scheduler with a cached list, and checks that it is ready in time whatever discovery does.
+/// Starts a scheduler with a cached list and asserts that it is ready within 6 s. `discovery` scripts
+/// discovery, and returns the connections to keep open.
 fn assert_ready_in_time(settings: Value, discovery: impl FnOnce(&Scheduler) -> Vec<TcpStream>) {
     let worker = bind_loopback();
     let since = Instant::now();
@@ -50,7 +51,7 @@
     let mut pushed = settings();
     pushed["discovery"] = json!("pushed");
     for settings in [settings(), pushed] {
-        // Nothing accepts; a watch stays without a response; a watch is closed.
+        // Discovery accepts no connection; it accepts one and does not respond; it closes one at once.
         assert_ready_in_time(settings.clone(), |_| vec![]);
         assert_ready_in_time(settings.clone(), |scheduler| vec![accept(&scheduler.discovery)]);
         assert_ready_in_time(settings, |scheduler| {
--- a/crates/daemon/tests/support/datagram_relay.rs
+++ b/crates/daemon/tests/support/datagram_relay.rs
@@ -1,33 +1,33 @@
-//! Carries the datagrams between two schedulers, and loses some.
+//! Relays datagrams between two schedulers, and drops some.
 
 use super::{Scheduler, ms};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 
-/// Longer than any datagram between schedulers.
+/// No datagram between schedulers is longer.
 const MAX_DATAGRAM_BYTES: usize = 512;
 
-/// Whether a datagram is lost, by its bytes.
+/// Decides by a datagram's bytes whether it is dropped.
 pub type IsLost = Box<dyn FnMut(&[u8]) -> bool + Send>;
 
-/// Carries the datagrams of two schedulers to one another until it is dropped.
+/// Forwards datagrams between two schedulers until this value is dropped.
 pub struct DatagramRelay {
     stopped: Arc<AtomicBool>,
-    /// Datagrams that were lost on the way from the first scheduler to the second.
+    /// Number of datagrams from the first scheduler to the second that were dropped.
     pub lost: Arc<AtomicUsize>,
 }
 
 impl DatagramRelay {
-    /// Connects two schedulers; `is_lost` judges what the first sends to the second.
+    /// Relays between two schedulers; `is_lost` applies to the datagrams that the first sends to the second.
     pub fn start(first: &Scheduler, second: &Scheduler, is_lost: IsLost) -> DatagramRelay {
         let relay = DatagramRelay { stopped: Arc::default(), lost: Arc::default() };
-        relay.carry(first, second, is_lost);
-        relay.carry(second, first, Box::new(|_| false));
+        relay.forward(first, second, is_lost);
+        relay.forward(second, first, Box::new(|_| false));
         relay
     }
 
-    fn carry(&self, from: &Scheduler, to: &Scheduler, mut is_lost: IsLost) {
+    fn forward(&self, from: &Scheduler, to: &Scheduler, mut is_lost: IsLost) {
         let (receiver, sender) = (clone(&from.peer), clone(&to.peer));
         let (address, stopped, lost) = (to.peer_address, Arc::clone(&self.stopped), Arc::clone(&self.lost));
         receiver.set_read_timeout(Some(ms(20))).expect("set_read_timeout");
@@ -49,7 +49,7 @@
 }
 
 fn send(socket: &UdpSocket, datagram: &[u8], to: SocketAddr) {
-    // The receiver may have ended.
+    // The receiving process may have exited.
     let _ = socket.send_to(datagram, to);
 }
 
--- a/crates/daemon/tests/support/discovery.rs
+++ b/crates/daemon/tests/support/discovery.rs
@@ -1,4 +1,4 @@
-//! Scripted discovery: endpoints, lists of them, and a scheduler with two workers under a watch.
+//! Scripted discovery: endpoint lists, and a scheduler with two workers and an open watch.
 
 use super::{
     Scheduler, accept, address_of, bind_loopback, closing_response, job_request, ms, read_message, send,
@@ -7,23 +7,25 @@
 use serde_json::{Value, json};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// One entry of the endpoint list.
+/// An entry of an endpoint list.
 pub fn endpoint(name: &str, address: SocketAddr, status: &str) -> Value {
     json!({"name": name, "address": address.to_string(), "zone": "north", "type": "big", "group": 0,
         "status": status, "weight": 1.0, "since_ms": 0})
 }
 
-/// An entry for this worker.
+/// An entry of an endpoint list for this worker.
 pub fn entry(name: &str, worker: &TcpListener, status: &str) -> Value {
     endpoint(name, address_of(worker), status)
 }
 
-/// An endpoint list: a snapshot or changes.
+/// A line of discovery's response: a complete list if `snapshot` is set, else changes to it. `index` is the
+/// list's revision.
 pub fn endpoint_list(index: u64, snapshot: bool, endpoints: &[Value]) -> Value {
     json!({"index": index, "snapshot": snapshot, "endpoints": endpoints})
 }
 
-/// A scheduler with two workers that it knows, `s-a` and `s-b`, and a watch that has brought no change.
+/// A scheduler whose cached list has two workers, `s-a` and `s-b`, and its open watch, on which no change has
+/// been sent yet.
 pub struct TwoWorkers {
     pub scheduler: Scheduler,
     pub a: TcpListener,
@@ -35,11 +37,12 @@
     two_workers_with_max_poll_interval(60_000.0)
 }
 
-/// The same with this time for which a list holds without a watch.
+/// Like [`two_workers`]; while no watch is open, the list is polled at least every `max_poll_interval`
+/// milliseconds.
 pub fn two_workers_with_max_poll_interval(max_poll_interval: f64) -> TwoWorkers {
     let (a, b) = (bind_loopback(), bind_loopback());
     let mut config = settings();
-    // The backoff of the state machine itself after a failed request must have no part in these tests.
+    // Set so that the state machine's own backoff after a failed request has no effect on these tests.
     config["obligations"]["ask-within"] = json!(max_poll_interval);
     let scheduler = Scheduler::start_with(config, &[entry("s-a", &a, "ready"), entry("s-b", &b, "ready")]);
     let (_, watch) = scheduler.accept_watch(&[endpoint_list(2, false, &[])]);
@@ -47,7 +50,8 @@
     TwoWorkers { scheduler, a, b, watch }
 }
 
-/// Sends jobs until this many have been served by one worker, and checks that the other was not even connected to.
+/// Sends this many jobs, and asserts that `worker` serves all of them and that no connection to `other` is
+/// opened.
 pub fn assert_all_jobs_go_to(scheduler: &Scheduler, worker: &TcpListener, other: &TcpListener, jobs: usize) {
     for n in 0..jobs {
         let id = format!("go{n}");
@@ -61,9 +65,10 @@
     assert!(other.accept().is_err(), "a job went to the other worker");
 }
 
-/// Waits until jobs are not sent to this worker any more: one that is would be answered by nobody.
+/// Waits until the scheduler sends no more jobs to this worker. Jobs sent to it get no response.
 pub fn wait_until_not_used(scheduler: &Scheduler, worker: &TcpListener) {
-    // The messages and lines that withdraw it are read before a request that comes after them; give them a moment.
+    // The messages or lines that withdraw the worker have been sent, and are read before a later request; the
+    // sleep gives them time to take effect.
     scheduler.wait_until_ready();
     std::thread::sleep(ms(100));
     worker.set_nonblocking(true).expect("set_nonblocking");
--- a/crates/daemon/tests/support/mod.rs
+++ b/crates/daemon/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A scheduler as a process of its own, between scripted clients, workers, discovery and another scheduler on loopback
-//! sockets.
+//! Runs a scheduler as a separate process, with scripted clients, workers, discovery and another scheduler on
+//! loopback sockets.
 #![allow(dead_code, missing_docs, unused_imports)]
 
 mod client;
@@ -22,13 +22,13 @@
 
 use std::time::{Duration, Instant};
 
-/// Longer than anything here takes; reaching it is a failure.
+/// Time limit for each wait in a test, far above what any of them takes.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 pub fn ms(count: u64) -> Duration {
     Duration::from_millis(count)
 }
 
-pub fn sleep_until(then: Instant) {
-    std::thread::sleep(then.saturating_duration_since(Instant::now()));
+pub fn sleep_until(wake_at: Instant) {
+    std::thread::sleep(wake_at.saturating_duration_since(Instant::now()));
 }
--- a/crates/daemon/tests/support/scheduler.rs
+++ b/crates/daemon/tests/support/scheduler.rs
@@ -1,4 +1,4 @@
-//! The scheduler under test: its process, its log, and its admin endpoint.
+//! The scheduler under test: its process, its log and its admin endpoint.
 
 use super::{
     RESPONSE_HEAD, TEST_TIMEOUT, accept, address_of, bind_loopback, check_health, endpoint, endpoint_list,
@@ -12,38 +12,40 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// Below this, the configuration does not say how many descriptors the process may have: it would be invalid.
+/// A lower limit on descriptors is not written to the configuration, which would be invalid with it.
 const MIN_CONFIGURED_DESCRIPTORS: u32 = 64;
 
-/// A scheduler's process, killed at the end of its test.
+/// A scheduler process, which is killed when this value is dropped.
 pub struct Scheduler {
     pub child: Child,
     pub address: SocketAddr,
     pub discovery: TcpListener,
-    /// Another scheduler, of which only datagrams are scripted.
+    /// The datagram socket of another, scripted scheduler.
     pub peer: UdpSocket,
+    /// Where the scheduler under test receives datagrams.
     pub peer_address: SocketAddr,
     pub admin_address: SocketAddr,
     config: Value,
     config_path: PathBuf,
-    /// What the scheduler has written to its log after the line with its ports.
+    /// The log lines after the one that states the ports.
     log_lines: Arc<Mutex<Vec<String>>>,
 }
 
-/// How a scheduler is started.
+/// The options with which a scheduler is started.
 pub struct Launch<'a> {
     pub settings: Value,
     /// The cached endpoint list.
     pub known: &'a [Value],
-    /// The address for clients, which another scheduler may share.
+    /// The address for clients; several schedulers may listen on the same one.
     pub listen: &'a str,
-    /// A limit on the process's descriptors, which the configuration states too unless it is too small for one.
+    /// Limit on the process's descriptors. The configuration states it as well, unless it is too low to be
+    /// valid there.
     pub max_descriptors: Option<u32>,
-    /// The operators' file.
+    /// Path of the operators' file.
     pub operations: Option<&'a Path>,
 }
 
-/// The system call that waits for events, by its number.
+/// Number of the system call that waits for events.
 const EPOLL_WAIT: &str = if cfg!(target_arch = "x86_64") { "232" } else { "22" };
 
 impl Default for Launch<'_> {
@@ -61,20 +63,21 @@
 impl Launch<'_> {
     pub fn start(self) -> Scheduler {
         let discovery = bind_loopback();
-        let peer = UdpSocket::bind("127.0.0.1:0").expect("a port of the system's");
+        let peer = UdpSocket::bind("127.0.0.1:0").expect("a free port");
         peer.set_read_timeout(Some(TEST_TIMEOUT)).expect("set_read_timeout");
         let config = self.config(address_of(&discovery), peer.local_addr().expect("local_addr"));
         let config_path = write_config(&config);
         let mut child = self.command(&config, &config_path).spawn().expect("the scheduler starts");
-        // The log states which ports the system gave, and is read on so that it never fills.
+        // The log states the ports that the system has chosen. It is read on so that the pipe never fills.
         let mut log = BufReader::new(child.stderr.take().expect("a pipe")).lines().map_while(Result::ok);
-        let started = log.find(|line| line.contains("listen: ")).expect("a line that states the ports");
+        let serving_line = log.find(|line| line.contains("listen: ")).expect("a line that states the ports");
         let log_lines: Arc<Mutex<Vec<String>>> = Arc::default();
-        let written = Arc::clone(&log_lines);
-        std::thread::spawn(move || log.for_each(|line| written.lock().expect("no panic").push(line)));
-        let address_in = |name: &str| started.split(name).nth(1)?.split([',', ' ']).next()?.parse().ok();
-        // Where the settings have no messages, no port is bound for them.
-        let unbound = started.contains(" peer_listen: none").then(|| SocketAddr::from(([127, 0, 0, 1], 1)));
+        let read_lines = Arc::clone(&log_lines);
+        std::thread::spawn(move || log.for_each(|line| read_lines.lock().expect("no panic").push(line)));
+        let address_in = |name: &str| serving_line.split(name).nth(1)?.split([',', ' ']).next()?.parse().ok();
+        // If the settings disable peer messages, no port is bound for them.
+        let unbound =
+            serving_line.contains(" peer_listen: none").then(|| SocketAddr::from(([127, 0, 0, 1], 1)));
         let address = address_in(" listen: ").expect("a port");
         let peer_address = address_in(" peer_listen: ").or(unbound).expect("a port");
         let admin_address = address_in(" control: ").expect("a port");
@@ -93,7 +96,7 @@
 
     fn config(&self, discovery: SocketAddr, peer: SocketAddr) -> Value {
         let sockets = self.max_descriptors.filter(|&count| count >= MIN_CONFIGURED_DESCRIPTORS);
-        // Of two schedulers, by their ordinals; the own entry is not used.
+        // The addresses of two schedulers by ordinal. A scheduler does not use its own entry.
         let mut peers = ["127.0.0.1:1".to_owned(), peer.to_string()];
         if self.settings["ordinal"] == 1 {
             peers.reverse();
@@ -116,7 +119,7 @@
         if let Some(operations) = self.operations {
             command.env("PROXY_OPERATIONS", operations);
         }
-        // As in service: the environment names what the file names.
+        // As in a deployment, where the environment and the configuration file state the same address.
         command.env("PROXY_DISCOVERY", config["discovery"].as_str().expect("an address"));
         command.env("PROXY_CONFIG", config_path);
         command
@@ -141,7 +144,7 @@
     command
 }
 
-/// Runs the program to its end, with this configuration.
+/// Runs the program with these arguments and this configuration until it exits.
 pub fn run(arguments: &[&str], config: Option<&Value>) -> Output {
     let mut command = command(env!("CARGO_BIN_EXE_brackenledge"), arguments);
     if let Some(config) = config {
@@ -150,34 +153,35 @@
     command.output().expect("the program runs")
 }
 
-/// Starts a scheduler that knows this one worker.
+/// Starts a scheduler whose cached list has this worker.
 pub fn start_scheduler(settings: Value, worker: &TcpListener) -> Scheduler {
     start_scheduler_at(settings, address_of(worker))
 }
 
-/// The same for a worker at this address.
+/// Starts a scheduler whose cached list has a worker at this address.
 pub fn start_scheduler_at(settings: Value, worker: SocketAddr) -> Scheduler {
     Scheduler::start_with(settings, &[endpoint("s-a", worker, "ready")])
 }
 
 impl Scheduler {
-    /// Starts a scheduler that knows these endpoints.
+    /// Starts a scheduler with this cached endpoint list.
     pub fn start(known: &[Value]) -> Scheduler {
         Launch { known, ..Launch::default() }.start()
     }
 
-    /// The same with these settings.
+    /// Starts a scheduler with these settings and this cached endpoint list.
     pub fn start_with(settings: Value, known: &[Value]) -> Scheduler {
         Launch { settings, known, ..Launch::default() }.start()
     }
 
-    /// A scheduler that knows this worker, and may have so many descriptors.
+    /// Starts a scheduler whose cached list has this worker, with this limit on its descriptors.
     pub fn start_with_descriptors(settings: Value, worker: &TcpListener, count: u32) -> Scheduler {
         let known = [endpoint("s-a", address_of(worker), "ready")];
         Launch { settings, known: &known, max_descriptors: Some(count), ..Launch::default() }.start()
     }
 
-    /// Replaces the configuration by one that names this discovery, or by text that is none, and signals that.
+    /// Replaces the address of discovery in the configuration file or, if there is none, the whole file by
+    /// invalid text; then sends SIGHUP.
     pub fn reload(&mut self, discovery: Option<TcpListener>) {
         let text = match discovery {
             None => "{\"discovery\": ".into(),
@@ -197,14 +201,15 @@
         stream
     }
 
-    /// Sends a request on a connection of its own.
+    /// Sends a request on a new connection.
     pub fn send_request(&self, request: &str) -> TcpStream {
         let mut client = self.connect();
         send(&mut client, request);
         client
     }
 
-    /// Submits a job, and checks that this worker serves it on a new connection, which is returned.
+    /// Submits a job and serves it as this worker, on a new connection, which is returned. Asserts that the
+    /// client gets the result.
     pub fn assert_serves(&self, worker: &TcpListener, id: &str) -> TcpStream {
         let mut client = self.send_request(&job_request("view", id, "x"));
         let mut attempt = accept(worker);
@@ -216,7 +221,7 @@
         attempt
     }
 
-    /// Accepts the next request to discovery, and responds with these lines.
+    /// Accepts the next connection to discovery, responds to its request with these lines, and returns both.
     pub fn accept_watch(&self, lines: &[Value]) -> (String, TcpStream) {
         let mut watch = accept(&self.discovery);
         let request = read_message(&mut watch);
@@ -225,12 +230,12 @@
         (request, watch)
     }
 
-    /// Makes one call at the admin endpoint and reads the reply to its end.
+    /// Makes a call to the admin endpoint and reads the reply until the connection is closed.
     pub fn admin_call(&self, line: &[u8]) -> String {
         let mut connection = self.admin_connect();
         connection.write_all(line).expect("the call is sent");
         let mut reply = String::new();
-        connection.read_to_string(&mut reply).expect("a reply, then the end");
+        connection.read_to_string(&mut reply).expect("a reply, then a close");
         reply
     }
 
@@ -240,26 +245,27 @@
         connection
     }
 
-    /// A figure that the admin endpoint states.
-    pub fn admin_figure(&self, name: &str) -> f64 {
+    /// Returns a value of the reply to `INFO`.
+    pub fn info_value(&self, name: &str) -> f64 {
         let reply = self.admin_call(b"INFO\n");
         let line = reply.lines().find_map(|line| line.strip_prefix(&format!("svc.{name}=")));
-        line.unwrap_or_else(|| panic!("no {name} in {reply}")).parse().expect("a figure")
+        line.unwrap_or_else(|| panic!("no {name} in {reply}")).parse().expect("a number")
     }
 
+    /// Sends a signal to the process; `name` is the argument of `kill`, such as `-TERM`.
     pub fn signal(&self, name: &str) {
         let sent =
             Command::new("kill").args([name, &self.child.id().to_string()]).status().expect("kill runs");
         assert!(sent.success());
     }
 
-    /// Sends SIGTERM; it was sent at the returned time at the latest.
+    /// Sends SIGTERM. Returns the time just after that.
     pub fn terminate(&self) -> Instant {
         self.signal("-TERM");
         Instant::now()
     }
 
-    /// Waits until the scheduler says that it could serve.
+    /// Waits until the health check succeeds.
     pub fn wait_until_ready(&self) {
         let since = Instant::now();
         while !check_health(self).starts_with("HTTP/1.1 200 ") {
@@ -268,16 +274,16 @@
         }
     }
 
-    /// Waits until so many jobs are pending.
+    /// Waits until exactly `count` jobs are pending.
     pub fn wait_for_pending_jobs(&self, count: f64) {
         let since = Instant::now();
-        while self.admin_figure("open_requests") != count {
-            assert!(since.elapsed() < TEST_TIMEOUT, "not {count} jobs are pending");
+        while self.info_value("open_requests") != count {
+            assert!(since.elapsed() < TEST_TIMEOUT, "the number of pending jobs is not {count}");
             std::thread::sleep(ms(10));
         }
     }
 
-    /// Waits for a line of the log that contains all of these, and gives it.
+    /// Waits for a log line that contains all of these parts, and returns it.
     pub fn wait_for_log_line(&self, parts: &[&str]) -> String {
         let since = Instant::now();
         loop {
@@ -285,24 +291,25 @@
             if let Some(line) = lines.iter().find(|line| parts.iter().all(|part| line.contains(part))) {
                 return line.clone();
             }
-            assert!(since.elapsed() < TEST_TIMEOUT, "no line with {parts:?} among {lines:#?}");
+            assert!(since.elapsed() < TEST_TIMEOUT, "no log line contains {parts:?}: {lines:#?}");
             std::thread::sleep(ms(20));
         }
     }
 
-    /// How many lines of the log so far contain this.
+    /// Returns the number of log lines so far that contain this part.
     pub fn count_log_lines(&self, part: &str) -> usize {
         self.log_lines.lock().expect("no panic").iter().filter(|line| line.contains(part)).count()
     }
 
-    /// Resident memory, in kilobytes.
+    /// Resident memory of the process, in kilobytes.
     pub fn memory_kb(&self) -> u64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id())).expect("a process");
-        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a figure");
+        let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:")).expect("a resident set size");
         line.trim().trim_end_matches(" kB").parse().expect("a number")
     }
 
-    /// Pauses the process, and waits until it is paused: a signal that is sent is not yet delivered.
+    /// Stops the process with SIGSTOP, and waits until it is stopped: `kill` returns before the signal takes
+    /// effect.
     pub fn pause(&self) {
         self.signal("-STOP");
         let since = Instant::now();
@@ -312,36 +319,37 @@
         }
     }
 
-    /// Whether the paused process was in its poll for events, or just about to leave it.
+    /// Whether the stopped process is in the system call that waits for events, or about to return from it.
     pub fn is_paused_in_poll(&self) -> bool {
         let path = format!("/proc/{}/syscall", self.child.id());
-        let syscall = std::fs::read_to_string(path).expect("the kernel names the system call");
+        let syscall = std::fs::read_to_string(path).expect("the process's system call");
         syscall.split_whitespace().next() == Some(EPOLL_WAIT)
     }
 
+    /// Continues the process after a SIGSTOP.
     pub fn resume(&self) {
         self.signal("-CONT");
     }
 
-    /// The process's state by the kernel.
+    /// The process's state letter in `/proc`, such as `T` if it is stopped.
     fn process_state(&self) -> Option<char> {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("a process");
         stat.rsplit(')').next()?.trim_start().chars().next()
     }
 
-    /// Waits for the process to end by itself.
+    /// Waits until the process exits by itself.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let since = Instant::now();
         loop {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status;
             }
-            assert!(since.elapsed() < TEST_TIMEOUT, "the scheduler goes on");
+            assert!(since.elapsed() < TEST_TIMEOUT, "the scheduler has not exited");
             std::thread::sleep(ms(20));
         }
     }
 
-    /// Processor time used so far, in clock ticks.
+    /// Processor time that the process has used so far, in clock ticks.
     pub fn cpu_ticks(&self) -> u64 {
         let stat = std::fs::read_to_string(format!("/proc/{}/stat", self.child.id())).expect("a process");
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
@@ -351,14 +359,15 @@
 
 impl Drop for Scheduler {
     fn drop(&mut self) {
-        // A test that failed must not leave its scheduler behind; one that ended is gone already.
+        // A failed test must not leave its scheduler running. If the process has exited already, this fails.
         let _ = self.child.kill();
         let _ = self.child.wait();
         let _ = std::fs::remove_file(&self.config_path);
     }
 }
 
-/// When SIGKILL follows a SIGTERM, by the longest deadline of the settings.
-pub fn sigkill_time(terminated: Instant, deadline: u64) -> Instant {
-    terminated + ms(deadline.min(3_000) + 700)
+/// The time at which the platform would send SIGKILL: after SIGTERM it waits for the longest deadline of the
+/// settings, 3 s at most, and 700 ms more.
+pub fn sigkill_time(terminated_at: Instant, max_deadline: u64) -> Instant {
+    terminated_at + ms(max_deadline.min(3_000) + 700)
 }
--- a/crates/daemon/tests/support/settings.rs
+++ b/crates/daemon/tests/support/settings.rs
@@ -1,8 +1,8 @@
-//! The settings that the tests start from.
+//! The settings on which the tests are based.
 
 use serde_json::{Value, json};
 
-/// One class of each effect, two tenants.
+/// Settings with one class of each effect and two tenants.
 pub fn settings() -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "group": "zone", "window": 7500.0, "goal-time": 400.0,
@@ -22,21 +22,21 @@
     })
 }
 
-/// These settings with a value of each class replaced.
+/// Sets this key to `value` in each class.
 pub fn set_in_each_class(settings: &mut Value, key: &str, value: f64) {
     for class in settings["classes"].as_array_mut().expect("classes") {
         class[key] = json!(value);
     }
 }
 
-/// Settings whose classes all have this deadline in milliseconds.
+/// Settings in which all classes have this deadline, in milliseconds.
 pub fn settings_with_deadline(deadline: f64) -> Value {
     let mut settings = settings();
     set_in_each_class(&mut settings, "hard-limit", deadline);
     settings
 }
 
-/// Settings under which nothing is given up for its age within a test.
+/// Settings with deadlines and timeouts that do not expire within a test.
 pub fn settings_without_timeouts() -> Value {
     let mut settings = settings_with_deadline(60_000.0);
     settings["limits"]["connect-timeout"] = json!(30_000.0);
@@ -44,7 +44,7 @@
     settings
 }
 
-/// The same, under which running attempts can't be cancelled either.
+/// Like [`settings_without_timeouts`], and running attempts can't be cancelled.
 pub fn settings_without_cancelling() -> Value {
     let mut settings = settings_without_timeouts();
     settings["limits"]["cancelling"] = json!(false);
--- a/crates/daemon/tests/support/worker.rs
+++ b/crates/daemon/tests/support/worker.rs
@@ -9,23 +9,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// A scheduler that knows one worker, and that worker.
+/// Starts a scheduler whose cached list has one worker, and returns both.
 pub fn scheduler_with_one_worker() -> (Scheduler, TcpListener) {
     let worker = bind_loopback();
     (Scheduler::start(&[endpoint("s-a", address_of(&worker), "ready")]), worker)
 }
 
-/// A worker on which no further connection opens: its backlog holds one, and is full with it.
+/// A worker to which no connection can be opened: its backlog has room for one, which the returned stream
+/// takes.
 pub fn worker_with_full_backlog() -> (TcpListener, TcpStream) {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a port");
-    socket.listen(0).expect("it listens");
+    socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a free port");
+    socket.listen(0).expect("listen");
     let listener = TcpListener::from(socket);
-    let first = TcpStream::connect(address_of(&listener)).expect("capacity for one");
+    let first = TcpStream::connect(address_of(&listener)).expect("room for one connection");
     (listener, first)
 }
 
-/// Everything that reaches a worker within this time on new connections, and on the ones given.
+/// Returns everything that a worker receives within this time, on new connections and on the open ones given.
 pub fn received_within(worker: &TcpListener, mut open: Vec<TcpStream>, within: Duration) -> String {
     worker.set_nonblocking(true).expect("set_nonblocking");
     open.iter().for_each(|stream| stream.set_nonblocking(true).expect("set_nonblocking"));
@@ -49,7 +50,7 @@
     String::from_utf8_lossy(&text).into_owned()
 }
 
-/// The next request on a worker's connection; `None`: it has ended.
+/// Reads the next request on a worker's connection and returns its head; `None` if the connection is closed.
 pub fn next_request(reader: &mut BufReader<TcpStream>) -> Option<String> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -61,12 +62,12 @@
     Some(head)
 }
 
-/// The next request to a worker, on the connection that it holds or on a new one.
+/// Reads the next request to a worker, on the open connection given or on a new one.
 pub fn next_request_on_any(worker: &TcpListener, held: TcpStream) -> (String, TcpStream) {
     worker.set_nonblocking(true).expect("set_nonblocking");
     let (since, mut open) = (Instant::now(), vec![held]);
     loop {
-        assert!(since.elapsed() < TEST_TIMEOUT, "no request comes");
+        assert!(since.elapsed() < TEST_TIMEOUT, "no request has arrived");
         open.extend(worker.accept().ok().map(|(stream, _)| stream));
         for mut stream in std::mem::take(&mut open) {
             stream.set_nonblocking(true).expect("set_nonblocking");
@@ -75,7 +76,7 @@
             match peeked {
                 Ok(1..) => return (read_message(&mut stream), stream),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => open.push(stream),
-                // The scheduler has closed it.
+                // The scheduler has closed the connection.
                 _ => {}
             }
         }
@@ -83,10 +84,11 @@
     }
 }
 
-/// The ids of all requests that a worker received completely.
+/// The trace ids of all requests that a worker has received completely.
 pub type ReceivedIds = Arc<Mutex<Vec<String>>>;
 
-/// A worker that answers every request at once, after this many connections that it closes unread.
+/// Starts a worker that responds to every request at once. It closes the first `closed_unread` connections
+/// without reading from them.
 pub fn spawn_worker(closed_unread: usize) -> (SocketAddr, ReceivedIds) {
     let (worker, received) = (bind_loopback(), ReceivedIds::default());
     let (address, recorded) = (address_of(&worker), Arc::clone(&received));
@@ -114,8 +116,8 @@
     received.lock().expect("no panic").iter().filter(|other| *other == id).count()
 }
 
-/// Waits until a worker's connection may be used again: jobs that are not safe to retry do not use one within 20 ms of
-/// its last response.
+/// Waits until any job may reuse a worker connection: only jobs that may run any number of times do so within
+/// 20 ms of its last response.
 pub fn wait_for_reuse() {
     std::thread::sleep(ms(60));
 }
