--- a/crates/test-cluster/src/network_conditions.rs
+++ b/crates/test-cluster/src/network_conditions.rs
@@ -1,4 +1,4 @@
-//! What a link does to what travels on it, one direction at a time. No I/O, no clock.
+//! Emulated network conditions of a link, for each direction separately. No I/O; callers pass the time.
 
 use crate::Millis;
 use rand::RngExt;
@@ -8,43 +8,44 @@
 #[cfg(test)]
 mod tests;
 
-/// The state of one direction of one link.
+/// The conditions of one direction of a link. The default passes everything at once.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct NetworkConditions {
-    /// Nothing arrives: datagrams are lost, bytes of a connection wait, new connections never come up.
+    /// Nothing arrives: datagrams are lost, bytes of open connections are held back, new connections are
+    /// never established.
     pub blackhole: bool,
-    /// Latency.
+    /// Fixed part of the latency.
     pub delay: Millis,
-    /// At most this much more latency, uniformly distributed.
+    /// Upper bound of the random part of the latency, which is uniformly distributed.
     pub jitter: Millis,
-    /// Fraction of the datagrams that never arrive.
+    /// Fraction of datagrams that are lost.
     pub loss: f64,
-    /// Fraction of the datagrams that arrive twice, the second one after another delay.
+    /// Fraction of datagrams that arrive twice, the second time after a further delay.
     pub duplicate: f64,
-    /// Fraction of the datagrams that later ones overtake.
+    /// Fraction of datagrams that arrive so late that later ones overtake them.
     pub reorder: f64,
-    /// Bytes of connections that pass in a second; 0: no bound.
+    /// Bandwidth of each connection in bytes per second; 0: unlimited.
     pub bytes_per_s: f64,
-    /// Connections are reset once so many bytes have passed in this direction.
+    /// Each connection is reset after this many bytes in this direction.
     pub cut_at_byte: Option<u64>,
 }
 
-/// A datagram that is overtaken is late by this much beyond its delay: longer than a few datagrams take.
+/// Additional latency of reordered datagrams and of duplicates: longer than a few datagrams take.
 const REORDER_DELAY: Millis = 40.0;
 
 impl NetworkConditions {
-    /// Both at once.
+    /// The conditions when two faults affect the same link.
     pub fn combined_with(&self, other: &NetworkConditions) -> NetworkConditions {
-        let either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
-        let slower = |a: f64, b: f64| if a == 0.0 || (b != 0.0 && b < a) { b } else { a };
+        let probability_of_either = |a: f64, b: f64| 1.0 - (1.0 - a) * (1.0 - b);
+        let lower_rate = |a: f64, b: f64| if a == 0.0 || (b != 0.0 && b < a) { b } else { a };
         NetworkConditions {
             blackhole: self.blackhole || other.blackhole,
             delay: self.delay + other.delay,
             jitter: self.jitter + other.jitter,
-            loss: either(self.loss, other.loss),
-            duplicate: either(self.duplicate, other.duplicate),
-            reorder: either(self.reorder, other.reorder),
-            bytes_per_s: slower(self.bytes_per_s, other.bytes_per_s),
+            loss: probability_of_either(self.loss, other.loss),
+            duplicate: probability_of_either(self.duplicate, other.duplicate),
+            reorder: probability_of_either(self.reorder, other.reorder),
+            bytes_per_s: lower_rate(self.bytes_per_s, other.bytes_per_s),
             cut_at_byte: match (self.cut_at_byte, other.cut_at_byte) {
                 (Some(a), Some(b)) => Some(a.min(b)),
                 (a, b) => a.or(b),
@@ -56,48 +57,49 @@
         self.delay + if self.jitter > 0.0 { rng.random_range(0.0..self.jitter) } else { 0.0 }
     }
 
-    /// When a datagram sent now arrives: never, once, or twice.
+    /// Arrival times of a datagram sent now: none if it is lost, two if it is duplicated.
     pub fn arrivals(&self, now: Millis, rng: &mut ChaCha8Rng) -> Vec<Millis> {
-        // All numbers are drawn whatever comes of them, so that one link's fault does not change the others' numbers.
-        let (lost, twice, late) = (rng.random::<f64>(), rng.random::<f64>(), rng.random::<f64>());
+        // Draws all random numbers whatever the outcome, so that a fault on one link does not change those of
+        // the others.
+        let (loss, duplicate, reorder) = (rng.random::<f64>(), rng.random::<f64>(), rng.random::<f64>());
         let (first, second) = (self.latency(rng), self.latency(rng));
-        if self.blackhole || lost < self.loss {
+        if self.blackhole || loss < self.loss {
             return Vec::new();
         }
-        let overtaken = if late < self.reorder { REORDER_DELAY } else { 0.0 };
-        let mut arrivals = vec![now + first + overtaken];
-        if twice < self.duplicate {
+        let reorder_delay = if reorder < self.reorder { REORDER_DELAY } else { 0.0 };
+        let mut arrivals = vec![now + first + reorder_delay];
+        if duplicate < self.duplicate {
             arrivals.push(now + first + second + REORDER_DELAY);
         }
         arrivals
     }
 }
 
-/// What travels on a connection.
+/// A unit of transfer on a connection.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Packet {
-    /// Bytes, in order.
+    /// Data of the byte stream.
     Bytes(Vec<u8>),
-    /// The sender sends no more.
+    /// The sender has shut down its side.
     End,
-    /// The connection is gone.
+    /// The connection is reset.
     Reset,
 }
 
-/// One direction of a connection: holds what is in transit, in order.
+/// One direction of a connection: a queue of the packets in transit, delivered in order.
 #[derive(Debug, Default)]
 pub struct Pipe {
     queue: VecDeque<(Millis, Packet)>,
-    /// When the last packet arrives; none overtakes another.
+    /// Arrival of the last packet in the queue. Later packets arrive no earlier.
     last_arrival: Millis,
-    /// When the throttle admits the next byte.
-    free_at: Millis,
+    /// When the bandwidth limit admits the next byte.
+    next_byte_at: Millis,
     passed_bytes: u64,
     is_cut: bool,
 }
 
 impl Pipe {
-    /// Takes what is sent now.
+    /// Enqueues a packet that is sent now. Packets after the byte at which the connection is cut are dropped.
     pub fn push(
         &mut self,
         now: Millis,
@@ -113,8 +115,8 @@
         if let Packet::Bytes(bytes) = &mut packet {
             if conditions.bytes_per_s > 0.0 {
                 let duration = bytes.len() as f64 / conditions.bytes_per_s * 1_000.0;
-                self.free_at = self.free_at.max(now) + duration;
-                arrival = arrival.max(self.free_at);
+                self.next_byte_at = self.next_byte_at.max(now) + duration;
+                arrival = arrival.max(self.next_byte_at);
             }
             self.cut(bytes, conditions);
         }
@@ -125,7 +127,7 @@
         }
     }
 
-    /// Counts bytes, and drops those beyond the byte at which the connection is cut.
+    /// Counts the bytes sent, and truncates at the byte at which the connection is cut.
     fn cut(&mut self, bytes: &mut Vec<u8>, conditions: &NetworkConditions) {
         let left = conditions.cut_at_byte.map(|max| max.saturating_sub(self.passed_bytes) as usize);
         self.passed_bytes += bytes.len() as u64;
@@ -135,12 +137,12 @@
         }
     }
 
-    /// When something arrives next; `None` while nothing does.
+    /// When the next packet arrives; `None` if nothing is in transit, or in a blackhole.
     pub fn next_arrival(&self, conditions: &NetworkConditions) -> Option<Millis> {
         self.queue.front().filter(|_| !conditions.blackhole).map(|front| front.0)
     }
 
-    /// What has arrived by now.
+    /// Removes the next packet, if it has arrived by now.
     pub fn take(&mut self, now: Millis, conditions: &NetworkConditions) -> Option<Packet> {
         self.next_arrival(conditions).filter(|&arrival| arrival <= now)?;
         self.queue.pop_front().map(|front| front.1)
--- a/crates/test-cluster/src/network_conditions/tests.rs
+++ b/crates/test-cluster/src/network_conditions/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn datagrams_are_lost_duplicated_and_reordered_in_the_fractions_asked_for() {
+fn datagrams_are_lost_duplicated_and_reordered_in_the_configured_fractions() {
     let mut rng = rng();
     let table = [
         (NetworkConditions { loss: 0.3, ..NetworkConditions::default() }, 0.7),
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_connection_keeps_its_order_holds_in_a_blackhole_and_is_cut_at_its_byte() {
+fn a_pipe_keeps_the_order_delivers_nothing_in_a_blackhole_and_is_cut_at_the_configured_byte() {
     let mut rng = rng();
     let slow = NetworkConditions { delay: 10.0, jitter: 20.0, ..NetworkConditions::default() };
     let mut pipe = Pipe::default();
@@ -36,7 +36,7 @@
     }
     let blackhole = NetworkConditions { blackhole: true, ..slow.clone() };
     assert_eq!(pipe.take(1_000.0, &blackhole), None);
-    assert_eq!(pipe.take(5.0, &slow), None, "not before its time");
+    assert_eq!(pipe.take(5.0, &slow), None, "the first byte arrives after 10 ms at the earliest");
     for byte in 0..50_u8 {
         assert_eq!(pipe.take(1_000.0, &slow), Some(Packet::Bytes(vec![byte])));
     }
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_throttle_spreads_bytes_over_time() {
+fn a_bandwidth_limit_spreads_bytes_over_time() {
     let mut rng = rng();
     let conditions = NetworkConditions { bytes_per_s: 1_000.0, ..NetworkConditions::default() };
     let mut pipe = Pipe::default();
--- a/crates/test-cluster/src/random_scenarios/failover.rs
+++ b/crates/test-cluster/src/random_scenarios/failover.rs
@@ -1,32 +1,35 @@
-//! Random scenarios with replicated jobs.
+//! Random scenarios in which jobs are replicated between schedulers.
 
 use super::ZONES;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use std::fmt::Write as _;
 
-/// Time from one fault's begin to the next one's, in seconds: a member list without a lost scheduler takes up to 3.
+/// Time from the start of one fault to the start of the next, in seconds, without the random offset. It takes
+/// up to 3 s until the member list no longer contains a lost scheduler.
 const FAULT_INTERVAL: f64 = 3.0;
-/// Number of faults.
+/// Number of faults in each scenario.
 const FAULTS: usize = 8;
-/// Time before the first fault's interval and after the last one's, in seconds.
-const CALM_TIME: f64 = 4.0;
-/// Time that a scheduler needs to come back after a fault, in seconds.
-const RETURN_TIME: f64 = 3.0;
-/// How long a killed process stays away, in seconds.
-const DOWN_TIME: f64 = 2.0;
-/// How long connections are reset: they are at once, but a fault has an end.
-const RESET_TIME: f64 = 0.1;
-/// How many kinds of faults there are in [`draw_fault`], counted by how often they are drawn.
-const FAULT_KINDS: usize = 10;
+/// Time without faults at the start and at the end of the traffic, in seconds.
+const FAULT_FREE_TIME: f64 = 4.0;
+/// Time that a scheduler needs after a fault to be back in service, in seconds.
+const RECOVERY_TIME: f64 = 3.0;
+/// Time from killing a process to starting it again, in seconds.
+const DOWNTIME: f64 = 2.0;
+/// Duration of a reset fault, in seconds. Connections are reset when it begins, but each fault is written
+/// with an end.
+const RESET_DURATION: f64 = 0.1;
+/// Number of equally likely choices in [`draw_fault`]; a kind of fault may take several of them.
+const FAULT_CHOICES: usize = 10;
 
-/// A fault as it is drawn.
+/// A random fault, apart from its start time.
 struct DrawnFault {
     kind: &'static str,
     /// In seconds.
     duration: f64,
+    /// Further lines of the `[[fault]]` table.
     keys: String,
-    /// Schedulers that it takes out of service.
+    /// Schedulers that the fault takes out of service.
     lost: Vec<usize>,
 }
 
@@ -36,34 +39,35 @@
     }
 }
 
-/// What a fault may be done to.
+/// Random choices for the next fault, and how many schedulers it may take out of service.
 struct Candidates {
-    one: usize,
-    other: usize,
+    first: usize,
+    second: usize,
+    /// In seconds.
     duration: f64,
-    /// No scheduler is lost yet.
+    /// All schedulers are in service.
     may_lose_one: bool,
-    /// And there are enough of them to lose two.
+    /// All schedulers are in service, and there are more than four of them.
     may_lose_two: bool,
 }
 
-/// The text of the scenario of this seed with replicated jobs: 4 to 8 schedulers at some 70% load, and every 3 s a fault.
-/// At most two schedulers are lost at once, which is what two replicas tolerate.
+/// The text of the scenario with replicated jobs for a seed: 4 to 8 schedulers at about 70% load, and a fault
+/// about every 3 s. At most two schedulers are lost at the same time, which is what two replicas tolerate.
 pub fn draw_failover(seed: u64) -> String {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let schedulers: usize = rng.random_range(4..=8);
     let zones = &ZONES[..rng.random_range(2..=3)];
-    let seconds = CALM_TIME + FAULT_INTERVAL * FAULTS as f64 + CALM_TIME;
-    let mut text = head(seed, schedulers, zones, seconds);
-    // Until when each scheduler is out of service, with what it takes to come back.
+    let seconds = FAULT_FREE_TIME + FAULT_INTERVAL * FAULTS as f64 + FAULT_FREE_TIME;
+    let mut text = header(seed, schedulers, zones, seconds);
+    // The time at which each scheduler is back in service, recovery included.
     let mut lost_until = vec![0.0_f64; schedulers];
     for number in 0..FAULTS {
-        let at = CALM_TIME + FAULT_INTERVAL * number as f64 + rng.random_range(0.0..1.0);
+        let at = FAULT_FREE_TIME + FAULT_INTERVAL * number as f64 + rng.random_range(0.0..1.0);
         let none_lost = lost_until.iter().all(|&until| until <= at);
         let candidates = draw_candidates(&mut rng, schedulers, none_lost);
         let DrawnFault { kind, duration, keys, lost } = draw_fault(&mut rng, &candidates);
         for scheduler in lost {
-            lost_until[scheduler] = at + duration + RETURN_TIME;
+            lost_until[scheduler] = at + duration + RECOVERY_TIME;
         }
         let until = at + duration;
         let _ = write!(text, "\n[[fault]]\nkind = \"{kind}\"\nat = {at:.2}\nuntil = {until:.2}\n{keys}");
@@ -72,7 +76,8 @@
     text
 }
 
-fn head(seed: u64, schedulers: usize, zones: &[&str], seconds: f64) -> String {
+/// Everything before the faults.
+fn header(seed: u64, schedulers: usize, zones: &[&str], seconds: f64) -> String {
     format!(
         "name = \"random-failover-{seed}\"\nwhy = \"Drawn from seed {seed}.\"\nseed = {seed}\n\n[cluster]\n\
          schedulers = {schedulers}\nzones = {zones:?}\noperations = \"[tier]\\non = true\\n\"\nfailover = \"\"\"\n\
@@ -83,39 +88,43 @@
 }
 
 fn draw_candidates(rng: &mut ChaCha8Rng, schedulers: usize, none_lost: bool) -> Candidates {
-    let one = rng.random_range(0..schedulers);
-    let other = (one + rng.random_range(1..schedulers)) % schedulers;
+    let first = rng.random_range(0..schedulers);
+    let second = (first + rng.random_range(1..schedulers)) % schedulers;
     let duration = [0.4, 1.0, 2.0, 4.0][rng.random_range(0..4)];
-    Candidates { one, other, duration, may_lose_one: none_lost, may_lose_two: none_lost && schedulers > 4 }
+    Candidates { first, second, duration, may_lose_one: none_lost, may_lose_two: none_lost && schedulers > 4 }
 }
 
 fn draw_fault(rng: &mut ChaCha8Rng, candidates: &Candidates) -> DrawnFault {
-    let &Candidates { one, other, duration, may_lose_one, may_lose_two } = candidates;
-    let target = format!("targets = [\"scheduler {one}\"]\n");
-    match rng.random_range(0..FAULT_KINDS) {
-        0..=2 if may_lose_one => DrawnFault::new("kill", DOWN_TIME, target, &[one]),
+    let &Candidates { first, second, duration, may_lose_one, may_lose_two } = candidates;
+    let first_target = format!("targets = [\"scheduler {first}\"]\n");
+    match rng.random_range(0..FAULT_CHOICES) {
+        0..=2 if may_lose_one => DrawnFault::new("kill", DOWNTIME, first_target, &[first]),
         3 if may_lose_two => {
-            let targets = format!("targets = [\"scheduler {one}\", \"scheduler {other}\"]\n");
-            DrawnFault::new("kill", DOWN_TIME, targets, &[one, other])
+            let targets = format!("targets = [\"scheduler {first}\", \"scheduler {second}\"]\n");
+            DrawnFault::new("kill", DOWNTIME, targets, &[first, second])
         }
-        4 if may_lose_one => DrawnFault::new("pause", duration, target, &[one]),
-        5 if may_lose_one => DrawnFault::new("network", duration, cut_off(one, "schedulers"), &[one]),
+        4 if may_lose_one => DrawnFault::new("pause", duration, first_target, &[first]),
+        5 if may_lose_one => DrawnFault::new("network", duration, partition(first, "schedulers"), &[first]),
         6 => {
             let keys = "from = [\"schedulers\"]\nto = [\"schedulers\"]\nloss = 0.3\ndelay-ms = 50\n";
             DrawnFault::new("network", duration, keys.into(), &[])
         }
-        7 => DrawnFault::new("network", duration.min(2.0), cut_off(one, "workers"), &[]),
+        7 => DrawnFault::new("network", duration.min(2.0), partition(first, "workers"), &[]),
         8 => {
             let keys = "from = [\"schedulers\"]\nto = [\"schedulers\"]\n";
-            DrawnFault::new("reset", RESET_TIME, keys.into(), &[])
+            DrawnFault::new("reset", RESET_DURATION, keys.into(), &[])
         }
+        // Also in place of a fault that would take too many schedulers out of service.
         _ => {
-            let keys = format!("from = [\"clients\"]\nto = [\"scheduler {one}\"]\n");
-            DrawnFault::new("reset", RESET_TIME, keys, &[])
+            let keys = format!("from = [\"clients\"]\nto = [\"scheduler {first}\"]\n");
+            DrawnFault::new("reset", RESET_DURATION, keys, &[])
         }
     }
 }
 
-fn cut_off(scheduler: usize, from: &str) -> String {
-    format!("from = [\"scheduler {scheduler}\"]\nto = [\"{from}\"]\nbidirectional = true\nblackhole = true\n")
+/// The keys of a network fault that separates a scheduler from a group of nodes in both directions.
+fn partition(scheduler: usize, peers: &str) -> String {
+    format!(
+        "from = [\"scheduler {scheduler}\"]\nto = [\"{peers}\"]\nbidirectional = true\nblackhole = true\n"
+    )
 }
--- a/crates/test-cluster/src/scenario/document.rs
+++ b/crates/test-cluster/src/scenario/document.rs
@@ -1,4 +1,4 @@
-//! A scenario's file as it is written. Keys have the names of today; names up to 365a0cf are read as aliases.
+//! Schema of a scenario file. Aliases accept the key names that files used up to commit 365a0cf.
 
 use serde::Deserialize;
 use std::collections::BTreeMap;
--- a/crates/test-cluster/src/scenario/errors.rs
+++ b/crates/test-cluster/src/scenario/errors.rs
@@ -1,13 +1,13 @@
-//! What is wrong with a scenario's file.
+//! Validation errors of scenario files.
 
 use crate::rules::RULES;
 use std::fmt;
 use std::path::PathBuf;
 
-/// What is wrong in one place of a scenario's file, and what would be right.
+/// What is wrong at one place of a scenario file, and which values are accepted there.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum Problem {
-    /// It is no TOML, lacks a key or has one that is not known.
+    /// The file is not valid TOML, or a key is missing, unknown or of the wrong type.
     #[error("{0}")]
     Syntax(String),
     /// A number is out of range.
@@ -22,7 +22,7 @@
         /// The highest one accepted.
         max: f64,
     },
-    /// A whole number is out of range.
+    /// An integer is out of range.
     #[error("{key} = {value}: give a whole number from {min} to {max}")]
     CountOutOfRange {
         /// The key.
@@ -34,65 +34,66 @@
         /// The highest one accepted.
         max: usize,
     },
-    /// A region names a zone that there is not.
+    /// A region lists a zone that `cluster.zones` does not contain.
     #[error("cluster.regions.{region}: name zones of cluster.zones ({zones})")]
     UnknownZone {
-        /// The region.
+        /// Name of the region.
         region: String,
-        /// The zones there are.
+        /// The scenario's zones, separated by commas.
         zones: String,
     },
-    /// No class has a part of the traffic.
-    #[error("traffic: give farm-view, market-sale or coin-buy a part above 0")]
+    /// The traffic shares of all classes are 0.
+    #[error("traffic: farm-view, market-sale and coin-buy are all 0: give one of them a share above 0")]
     NoTraffic,
-    /// A word names no node.
+    /// A name stands for no node of the cluster.
     #[error(
         "{key} = {name:?}: give all, discovery, clients, schedulers, workers, lease-holder, leader, \
-         scheduler N (0 to {last_scheduler}), worker N (0 to {last_worker}), zone NAME ({zones}) or region NAME ({regions})"
+         scheduler N (0 to {last_scheduler}), worker N (0 to {last_worker}), zone NAME ({zones}) or \
+         region NAME ({regions})"
     )]
     UnknownNode {
         /// The key.
         key: String,
-        /// The word.
+        /// The name as given.
         name: String,
-        /// The highest number of a scheduler.
+        /// The highest scheduler number.
         last_scheduler: usize,
-        /// The highest number of a worker.
+        /// The highest worker number.
         last_worker: usize,
-        /// The zones there are.
+        /// The scenario's zones, separated by commas.
         zones: String,
-        /// The regions there are.
+        /// The scenario's regions, separated by commas.
         regions: String,
     },
-    /// A fault lacks something or names the wrong nodes.
+    /// A fault lacks a key, targets the wrong kind of node or is of an unknown kind.
     #[error("{fault}: {remedy}")]
     Fault {
-        /// Its number and kind.
+        /// Its position in the file, from 1, and its kind, such as `fault 1 (kill)`.
         fault: String,
-        /// What to give.
+        /// How to correct it.
         remedy: &'static str,
     },
-    /// An expected violation is of no rule.
+    /// An expected violation names an unknown rule.
     #[error("expect.violations = {name:?}: give rules of {}", RULES.join(", "))]
     UnknownRule {
-        /// The name given.
+        /// The name as given.
         name: String,
     },
 }
 
-/// A problem and its place.
+/// A problem with its file and line.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{}:{line}: {problem}", .path.display())]
 pub struct ScenarioError {
-    /// The scenario's file.
+    /// The scenario file.
     pub path: PathBuf,
-    /// The line, from 1.
+    /// Line number, from 1.
     pub line: usize,
-    /// What is wrong there.
+    /// What is wrong on that line.
     pub problem: Problem,
 }
 
-/// All that is wrong with a scenario's file, one error a line.
+/// All errors of a scenario file; displayed with one error per line.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ScenarioErrors(pub Vec<ScenarioError>);
 
--- a/crates/test-cluster/src/scenario/expectations.rs
+++ b/crates/test-cluster/src/scenario/expectations.rs
@@ -1,4 +1,4 @@
-//! What a run must show, beside all rules kept.
+//! Limits on a run's results, checked in addition to the rules.
 
 use super::document::ExpectDocument;
 use super::errors::Problem;
@@ -6,27 +6,29 @@
 use crate::{Millis, rules};
 use toml::Spanned;
 
-/// The longest time that can be expected, in milliseconds.
+/// Upper bound of the time limits, in milliseconds.
 const MAX_TIME_MS: f64 = 600_000.0;
 
-/// What a run must show, beside all rules kept.
+/// Limits on a run's results, checked in addition to the rules. `None`: not checked.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Expectations {
-    /// Rules that this scenario is known to violate.
+    /// Rules that this scenario may violate; violations of all other rules fail the run.
     pub violations: Vec<&'static str>,
-    /// Jobs executed twice whose class forbids it, at most.
+    /// Maximum number of jobs executed more than once although their class forbids it.
     pub max_duplicate_executions: Option<usize>,
-    /// Requests without an answer, at most.
+    /// Maximum number of requests that get no answer.
     pub max_lost: Option<usize>,
-    /// Fraction of the jobs served, at least.
+    /// Minimum fraction of the jobs that are served.
     pub min_served: Option<f64>,
-    /// Time from the start of the last fault until service is back at 95% of what it was, at most.
+    /// Maximum time from the start of the last fault until the served fraction is back at 95% of its level
+    /// before the faults.
     pub max_recovery: Option<Millis>,
-    /// Time from the loss of a role's lease holder until another is named, at most.
+    /// Maximum time from the loss of a role's lease holder until the role has a holder again.
     pub max_vacancy: Option<Millis>,
-    /// Jobs taken over, at least.
+    /// Minimum number of jobs taken over by another scheduler.
     pub min_takeovers: Option<usize>,
-    /// Fraction of the jobs in flight at a fault, with 2 s left, whose clients were answered, at least.
+    /// Minimum fraction answered in time of the jobs that were in flight at a fault of their scheduler's
+    /// process with at least 2 s left until their deadline.
     pub min_answered: Option<f64>,
 }
 
--- a/crates/test-cluster/src/scenario/faults.rs
+++ b/crates/test-cluster/src/scenario/faults.rs
@@ -1,4 +1,4 @@
-//! Faults: what happens to whom, and when.
+//! Faults: their actions, targets and times, read from the `[[fault]]` tables of a scenario file.
 
 use super::Scenario;
 use super::document::FaultDocument;
@@ -9,93 +9,101 @@
 use crate::network_conditions::NetworkConditions;
 use toml::Spanned;
 
-/// What happens to whom.
+/// What a fault does, and to which nodes or links.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FaultAction {
-    /// SIGKILL to schedulers, sudden death of workers; they are started again at the fault's end, where it has one.
+    /// Sends SIGKILL to schedulers and drops workers with all their jobs. They are started again at the
+    /// fault's end, if it has one.
     Kill(Vec<Node>),
-    /// SIGTERM to schedulers; a new process under the same name at the fault's end.
+    /// Sends SIGTERM to schedulers; at the fault's end, if it has one, a new process with the same name is
+    /// started.
     Terminate(Vec<Node>),
-    /// SIGSTOP, and SIGCONT at the end.
+    /// Sends SIGSTOP to schedulers, and SIGCONT at the fault's end.
     Pause(Vec<Node>),
-    /// A second process under the same name and addresses, killed at the end.
+    /// Starts a second process with the same name and addresses, and kills it at the fault's end.
     DuplicateProcess(Vec<Node>),
-    /// Network conditions of links.
+    /// Applies network conditions to links until the fault's end.
     Network(Vec<Link>, NetworkConditions),
-    /// Connections on these links are reset, once.
+    /// Resets the connections that are open on these links when the fault begins.
     Reset(Vec<Link>),
-    /// The senders of these links end their sending, once; the other direction goes on.
+    /// Half-closes the connections that are open when the fault begins: the sending side of each link ends,
+    /// the opposite direction stays open.
     HalfClose(Vec<Link>),
-    /// Discovery is down.
+    /// Discovery resets its connections, and refuses new ones until the fault's end.
     DiscoveryOutage,
-    /// Open watches fall silent for good, once; their connections stay open.
+    /// Watches that are open when the fault begins never receive anything again; their connections stay open.
     SilentWatches,
-    /// Discovery answers only so many requests a second, one after another, and rejects those that have waited for long.
+    /// Discovery answers at most this many requests per second, one after another, and rejects requests that
+    /// have waited too long.
     DiscoveryOverload(f64),
-    /// Discovery announces changes this much later.
+    /// Discovery announces changes with this delay.
     DiscoveryDelay(Millis),
-    /// Discovery serves its list as it was when the fault began.
+    /// Discovery serves the endpoint list as it was when the fault began, until the fault's end.
     StaleEndpointList,
-    /// Workers drain; ready again at the end.
+    /// Workers drain, and are ready again at the fault's end.
     Drain(Vec<Node>),
-    /// Workers restart and warm up; what they held is lost.
+    /// Workers restart and warm up again; the jobs they held are lost.
     Restart(Vec<Node>),
-    /// Workers take so many times as long.
+    /// Multiplies the run time of jobs on these workers.
     Slow(Vec<Node>, f64),
-    /// Workers fail this fraction of what they are sent.
+    /// Workers fail this fraction of their attempts.
     Failing(Vec<Node>, f64),
-    /// The clock by which discovery writes `since_ms` is off by this.
+    /// Offsets the clock from which discovery takes `since_ms`.
     ClockSkew(Millis),
-    /// So many times the traffic.
+    /// Multiplies the arrival rate of jobs.
     Burst(f64),
 }
 
 impl FaultAction {
-    /// The action with the lease holder and the leader replaced by their schedulers. Who is unknown is left out.
+    /// The action with [`Node::LeaseHolder`] and [`Node::Leader`] replaced by the schedulers that hold these
+    /// roles now. A role without a known holder is left out.
     pub fn resolved(&self, lease_holder: Option<usize>, leader: Option<usize>) -> FaultAction {
         let resolve = |node: Node| match node {
             Node::LeaseHolder => lease_holder.map(Node::Scheduler),
             Node::Leader => leader.map(Node::Scheduler),
             node => Some(node),
         };
-        let nodes = |nodes: &[Node]| {
+        let resolve_nodes = |nodes: &[Node]| {
             let mut nodes: Vec<Node> = nodes.iter().filter_map(|&node| resolve(node)).collect();
             nodes.sort_unstable();
             nodes.dedup();
             nodes
         };
-        let links = |links: &[Link]| {
+        let resolve_links = |links: &[Link]| {
             let resolved =
                 links.iter().filter_map(|link| Some(Link::new(resolve(link.from)?, resolve(link.to)?)));
             resolved.filter(|link| link.from != link.to).collect()
         };
         match self {
-            FaultAction::Kill(of) => FaultAction::Kill(nodes(of)),
-            FaultAction::Terminate(of) => FaultAction::Terminate(nodes(of)),
-            FaultAction::Pause(of) => FaultAction::Pause(nodes(of)),
-            FaultAction::DuplicateProcess(of) => FaultAction::DuplicateProcess(nodes(of)),
-            FaultAction::Network(of, conditions) => FaultAction::Network(links(of), conditions.clone()),
-            FaultAction::Reset(of) => FaultAction::Reset(links(of)),
-            FaultAction::HalfClose(of) => FaultAction::HalfClose(links(of)),
+            FaultAction::Kill(nodes) => FaultAction::Kill(resolve_nodes(nodes)),
+            FaultAction::Terminate(nodes) => FaultAction::Terminate(resolve_nodes(nodes)),
+            FaultAction::Pause(nodes) => FaultAction::Pause(resolve_nodes(nodes)),
+            FaultAction::DuplicateProcess(nodes) => FaultAction::DuplicateProcess(resolve_nodes(nodes)),
+            FaultAction::Network(links, conditions) => {
+                FaultAction::Network(resolve_links(links), conditions.clone())
+            }
+            FaultAction::Reset(links) => FaultAction::Reset(resolve_links(links)),
+            FaultAction::HalfClose(links) => FaultAction::HalfClose(resolve_links(links)),
             other => other.clone(),
         }
     }
 }
 
-/// A fault action and its time.
+/// A fault action with its start and end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Fault {
-    /// When it begins.
+    /// Start time.
     pub at: Millis,
-    /// When it ends; `None`: never, or it is over at once.
+    /// End time; `None`: the fault lasts until the end of the run, or has no duration.
     pub until: Option<Millis>,
-    /// What happens.
+    /// What the fault does.
     pub action: FaultAction,
-    /// For reports: the file's words.
+    /// Description for reports, in the words of the scenario file.
     pub label: String,
 }
 
-/// Reads `[[fault]]`, the one of this number.
+/// Reads a `[[fault]]` table; `number` is its position in the file, from 1. On errors, reports them to the
+/// reader.
 pub fn read(
     reader: &mut Reader,
     scenario: &Scenario,
@@ -109,8 +117,8 @@
     let until = reader.optional_number(&format!("{name}: until"), &document.until, at, end);
     let targets = reader.nodes(&format!("{name}: targets"), &document.targets, scenario);
     let links = read_links(reader, scenario, &name, document);
-    let amounts = Amounts::read(reader, &name, document);
-    let fault = FaultReader { document, targets, links, amounts };
+    let parameters = FaultParameters::read(reader, &name, document);
+    let fault = FaultReader { document, targets, links, parameters };
     let action = match fault.action(kind) {
         Ok(action) => action,
         Err(remedy) => {
@@ -127,7 +135,8 @@
     })
 }
 
-/// The links from each of `from` to each of `to`, and back where the fault is bidirectional.
+/// The links from each node in `from` to each node in `to`, and their opposites if the fault is
+/// bidirectional.
 fn read_links(reader: &mut Reader, scenario: &Scenario, name: &str, document: &FaultDocument) -> Vec<Link> {
     let from = reader.nodes(&format!("{name}: from"), &document.from, scenario);
     let to = reader.nodes(&format!("{name}: to"), &document.to, scenario);
@@ -141,8 +150,8 @@
     links
 }
 
-/// The numbers of a fault, apart from its times.
-struct Amounts {
+/// The numeric keys of a fault, apart from its times.
+struct FaultParameters {
     conditions: NetworkConditions,
     factor: f64,
     fraction: f64,
@@ -150,8 +159,8 @@
     requests_per_s: f64,
 }
 
-impl Amounts {
-    fn read(reader: &mut Reader, name: &str, document: &FaultDocument) -> Amounts {
+impl FaultParameters {
+    fn read(reader: &mut Reader, name: &str, document: &FaultDocument) -> FaultParameters {
         let mut number = |key: &str, value: &Option<Spanned<f64>>, default, min, max| {
             reader.number(&format!("{name}: {key}"), value, default, min, max)
         };
@@ -165,7 +174,7 @@
             bytes_per_s: number("bytes-per-s", &document.bytes_per_s, 0.0, 1.0, 1e9),
             cut_at_byte: document.cut_at_byte.as_ref().map(|at| *at.get_ref()),
         };
-        Amounts {
+        FaultParameters {
             conditions,
             factor: number("factor", &document.factor, 1.0, 0.01, 100.0),
             fraction: number("fraction", &document.fraction, 0.0, 0.0, 1.0),
@@ -175,21 +184,22 @@
     }
 }
 
-const UNTIL: &str = "give until, a time in seconds";
+const UNTIL_MISSING: &str = "give until, a time in seconds";
 const UNKNOWN_KIND: &str = "no such kind: give kill, terminate, pause, duplicate-process, network, reset, half-close, \
                             discovery-outage, discovery-overload, discovery-delay, silent-watches, \
                             stale-endpoint-list, drain, restart, slow, failing, clock-skew or burst";
 
-/// What has been read of a fault, before it is checked for completeness.
+/// The values of a fault table, before the check that its kind has the keys and targets it requires.
 struct FaultReader<'a> {
     document: &'a FaultDocument,
     targets: Vec<Node>,
     links: Vec<Link>,
-    amounts: Amounts,
+    parameters: FaultParameters,
 }
 
 impl FaultReader<'_> {
-    /// The action of a kind, by its name of today or the one up to 365a0cf; or what is missing for it.
+    /// The action of a kind, or how to correct the table. Also accepts the names that kinds had in files up
+    /// to commit 365a0cf.
     fn action(self, kind: &str) -> Result<FaultAction, &'static str> {
         match kind {
             "kill" => self.kill(),
@@ -211,9 +221,9 @@
     }
 
     fn kill(self) -> Result<FaultAction, &'static str> {
-        // A zone includes its clients; they can't be killed.
-        let can_die = |node: &Node| node.is_scheduler() || node.is_worker();
-        let targets: Vec<Node> = self.targets.into_iter().filter(can_die).collect();
+        // The name of a zone also stands for its clients, which can't be killed.
+        let is_killable = |node: &Node| node.is_scheduler() || node.is_worker();
+        let targets: Vec<Node> = self.targets.into_iter().filter(is_killable).collect();
         if targets.is_empty() {
             return Err("give targets, schedulers or workers");
         }
@@ -222,13 +232,13 @@
 
     fn network(self) -> Result<FaultAction, &'static str> {
         let links = self.links("give from and to, such as from = [\"zone north\"], to = [\"workers\"]")?;
-        if self.amounts.conditions == NetworkConditions::default() {
+        if self.parameters.conditions == NetworkConditions::default() {
             return Err(
-                "nothing happens on it: give blackhole, delay-ms, jitter-ms, loss, duplicate, reorder, \
+                "no network condition is set: give blackhole, delay-ms, jitter-ms, loss, duplicate, reorder, \
                         bytes-per-s or cut-at-byte",
             );
         }
-        Ok(FaultAction::Network(links, self.amounts.conditions))
+        Ok(FaultAction::Network(links, self.parameters.conditions))
     }
 
     fn worker_action(self, kind: &str) -> Result<FaultAction, &'static str> {
@@ -240,9 +250,9 @@
             "drain" => Ok(FaultAction::Drain(workers)),
             "restart" => Ok(FaultAction::Restart(workers)),
             "slow" if self.document.factor.is_none() => Err("give factor, such as factor = 4.0"),
-            "slow" => Ok(FaultAction::Slow(workers, self.amounts.factor)),
+            "slow" => Ok(FaultAction::Slow(workers, self.parameters.factor)),
             _ if self.document.fraction.is_none() => Err("give fraction, such as fraction = 0.5"),
-            _ => Ok(FaultAction::Failing(workers, self.amounts.fraction)),
+            _ => Ok(FaultAction::Failing(workers, self.parameters.fraction)),
         }
     }
 
@@ -253,16 +263,16 @@
             "silent-watches" => Ok(FaultAction::SilentWatches),
             "discovery-overload" if document.requests_per_s.is_none() => Err("give requests-per-s"),
             "discovery-overload" => {
-                let overload = FaultAction::DiscoveryOverload(self.amounts.requests_per_s);
+                let overload = FaultAction::DiscoveryOverload(self.parameters.requests_per_s);
                 self.require_until(overload)
             }
             "stale-endpoint-list" | "stale" => self.require_until(FaultAction::StaleEndpointList),
             "discovery-delay" | "lag" if document.delay_ms.is_none() => Err("give delay-ms"),
-            "discovery-delay" | "lag" => Ok(FaultAction::DiscoveryDelay(self.amounts.conditions.delay)),
+            "discovery-delay" | "lag" => Ok(FaultAction::DiscoveryDelay(self.parameters.conditions.delay)),
             "clock-skew" | "clock" if document.offset_ms.is_none() => Err("give offset-ms"),
-            "clock-skew" | "clock" => Ok(FaultAction::ClockSkew(self.amounts.offset)),
+            "clock-skew" | "clock" => Ok(FaultAction::ClockSkew(self.parameters.offset)),
             "burst" if document.factor.is_none() || document.until.is_none() => Err("give factor and until"),
-            "burst" => Ok(FaultAction::Burst(self.amounts.factor)),
+            "burst" => Ok(FaultAction::Burst(self.parameters.factor)),
             _ => Err(UNKNOWN_KIND),
         }
     }
@@ -279,14 +289,16 @@
     }
 
     fn require_until(&self, action: FaultAction) -> Result<FaultAction, &'static str> {
-        if self.document.until.is_none() { Err(UNTIL) } else { Ok(action) }
+        if self.document.until.is_none() { Err(UNTIL_MISSING) } else { Ok(action) }
     }
 }
 
-/// The fault in the file's words.
+/// Describes the fault in the words of the scenario file: the kind, and its targets or links as written
+/// there.
 fn label(kind: &str, document: &FaultDocument) -> String {
-    let names =
-        |of: &[Spanned<String>]| of.iter().map(|name| name.get_ref().as_str()).collect::<Vec<_>>().join("+");
+    let names = |list: &[Spanned<String>]| {
+        list.iter().map(|name| name.get_ref().as_str()).collect::<Vec<_>>().join("+")
+    };
     if document.from.is_empty() {
         return format!("{kind} {}", names(&document.targets)).trim_end().to_owned();
     }
--- a/crates/test-cluster/src/scenario/mod.rs
+++ b/crates/test-cluster/src/scenario/mod.rs
@@ -1,4 +1,5 @@
-//! Scenarios: the cluster, its workers and traffic, the faults by time, and what a run must show.
+//! Scenarios: the cluster, its workers and traffic, timed faults, and the expectations that a run is checked
+//! against.
 
 mod document;
 mod errors;
@@ -19,101 +20,104 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// A class of jobs, as the schedulers' settings describe it.
+/// A job class, as configured in the schedulers' settings.
 #[derive(Clone, Copy, Debug)]
 pub struct Class {
-    /// Its name.
+    /// Name in the settings and in requests.
     pub name: &'static str,
-    /// What the settings say of repeated executions.
+    /// Value of the settings key `effect`: whether a job may be executed more than once.
     pub effect: &'static str,
 }
 
-/// The classes of all scenarios.
+/// The job classes, the same in every scenario.
 pub const CLASSES: [Class; 3] = [
     Class { name: "farm-view", effect: "pure" },
     Class { name: "market-sale", effect: "side_effect" },
     Class { name: "coin-buy", effect: "token" },
 ];
 
-/// Index in [`CLASSES`] of jobs that may be executed any number of times.
+/// Index in [`CLASSES`] of the class whose jobs may be executed any number of times.
 pub const FARM_VIEW: usize = 0;
-/// Index in [`CLASSES`] of jobs that must not be executed twice.
+/// Index in [`CLASSES`] of the class whose jobs must not be executed twice.
 pub const MARKET_SALE: usize = 1;
-/// Index in [`CLASSES`] of jobs that may be sent again within one zone and [`DEDUPLICATION_WINDOW`].
+/// Index in [`CLASSES`] of the class whose jobs may be sent again within the same zone and the
+/// [`DEDUPLICATION_WINDOW`]: the zone's workers drop duplicates by idempotency key.
 pub const COIN_BUY: usize = 2;
 
-/// How long the workers of a zone drop attempts with an idempotency key that they have executed.
+/// How long after the first execution under an idempotency key the workers of that zone drop duplicates.
 pub const DEDUPLICATION_WINDOW: Millis = 7_500.0;
 
-/// A scenario whose file has been read and checked.
+/// A scenario, read from its file and validated.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scenario {
-    /// Its name.
+    /// Name in reports and of output files.
     pub name: String,
-    /// What it is to show.
+    /// What the scenario demonstrates; shown in reports.
     pub why: String,
-    /// For all that is random.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
     /// Number of schedulers.
     pub schedulers: usize,
-    /// Names of zones; schedulers and workers are dealt out to them in turn.
+    /// Names of the zones. Schedulers and workers are assigned to them round-robin, see
+    /// [`Scenario::zone_of`].
     pub zones: Vec<String>,
-    /// Regions, each with the indices of its zones.
+    /// Regions by name, each with the indices of its zones in `zones`.
     pub regions: BTreeMap<String, Vec<usize>>,
-    /// Descriptors that a scheduler may hold.
+    /// Limit on the open file descriptors of a scheduler's process; `None`: the inherited limit.
     pub descriptors: Option<usize>,
-    /// The text of the schedulers' operators' file.
+    /// Text of the operations file of all schedulers; `None`: they get none from the scenario.
     pub operations: Option<String>,
-    /// Jobs are replicated between schedulers; further keys of `[handover]` in the operators' file.
+    /// Replicates jobs between schedulers if set; the text is added to `[handover]` in the operations file.
     pub failover: Option<String>,
     /// Number of workers.
     pub workers: usize,
-    /// Jobs that a worker executes at a time.
+    /// Jobs that a worker executes concurrently.
     pub slots: usize,
-    /// Jobs that may be queued at a worker.
+    /// Jobs that a worker queues at most.
     pub queue: usize,
-    /// Mean run time of a job.
+    /// Mean run time of a job on a worker that is warm.
     pub run_time: Millis,
-    /// How long a worker warms up after its start.
+    /// How long a worker takes after its start to reach its full capacity.
     pub warm_up: Millis,
-    /// Fraction of its capacity that a worker has at its start.
+    /// Fraction of its full capacity that a worker has right after its start.
     pub initial_capacity: f64,
-    /// Jobs a second.
+    /// Mean arrival rate of jobs, per second.
     pub per_second: f64,
-    /// How long jobs are created.
+    /// How long clients create jobs; faults begin and end within this time.
     pub length: Millis,
-    /// How long a client waits, over all its requests for a job.
+    /// Time from a job's creation to its deadline, across all requests for it.
     pub deadline: Millis,
-    /// Requests that a client sends for a job at most.
+    /// Maximum number of requests that a client sends for a job.
     pub max_requests: usize,
-    /// Pause of a client whose connection was lost.
+    /// Pause before a client retries after a lost connection, or after a rejection without `Retry-After`.
     pub retry_backoff: Millis,
-    /// The front proxy stops using a scheduler after it has not answered for so long.
+    /// The front proxy stops routing to a scheduler that has not answered health checks for this long.
     pub detection_delay: Millis,
-    /// Fractions of the traffic by class.
+    /// Shares of the traffic by class, in the order of [`CLASSES`]; their sum need not be 1.
     pub mix: [f64; 3],
-    /// Length of a request's body.
+    /// Length of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Faults in order of time.
+    /// Faults, ordered by start time.
     pub faults: Vec<Fault>,
-    /// What a run must show.
+    /// Expectations that a run is checked against.
     pub expect: Expectations,
 }
 
 impl Scenario {
-    /// Reads a scenario's file.
+    /// Reads and validates a scenario file.
     pub fn load(path: &Path) -> Result<Scenario, Error> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| Error::ReadFile { path: path.to_owned(), source })?;
         Ok(Scenario::parse(path, &text)?)
     }
 
-    /// Reads the text of a scenario's file. Gives all errors at once.
+    /// Parses and validates the text of a scenario file; `path` is used in error messages. Values out of
+    /// range are all reported together, each with its line.
     pub fn parse(path: &Path, text: &str) -> Result<Scenario, ScenarioErrors> {
         parse::read(path, text)
     }
 
-    /// The zone of a scheduler or worker of this number.
+    /// Index of the zone that the scheduler or worker with this number belongs to.
     pub fn zone_of(&self, number: usize) -> usize {
         number % self.zones.len()
     }
--- a/crates/test-cluster/src/scenario/nodes.rs
+++ b/crates/test-cluster/src/scenario/nodes.rs
@@ -1,31 +1,33 @@
-//! The nodes of a cluster, the links between them, and the names that files give them.
+//! The nodes of a cluster, the links between them, and their names in scenario files.
 
 use super::Scenario;
 
-/// What a link ends at.
+/// One end of a link, or the target of a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Node {
-    /// A scheduler, by number.
+    /// The scheduler with this number.
     Scheduler(usize),
-    /// A worker, by number.
+    /// The worker with this number.
     Worker(usize),
-    /// Discovery.
+    /// The discovery service.
     Discovery,
-    /// The clients of a zone.
+    /// All clients of the zone with this index.
     Clients(usize),
-    /// The scheduler that holds the lease of the first role when the fault begins.
+    /// The scheduler that holds the lease of the first role when the fault begins; see
+    /// [`FaultAction::resolved`](super::FaultAction::resolved).
     LeaseHolder,
-    /// The scheduler that is the leader when the fault begins.
+    /// The scheduler that is the leader when the fault begins; see
+    /// [`FaultAction::resolved`](super::FaultAction::resolved).
     Leader,
 }
 
 impl Node {
-    /// Whether it is a scheduler, whichever that is.
+    /// Also true for the lease holder and the leader, before they are resolved to a number.
     pub fn is_scheduler(&self) -> bool {
         matches!(self, Node::Scheduler(_) | Node::LeaseHolder | Node::Leader)
     }
 
-    /// Whether it is a worker.
+    /// Whether the node is a worker.
     pub fn is_worker(&self) -> bool {
         matches!(self, Node::Worker(_))
     }
@@ -35,7 +37,7 @@
     }
 }
 
-/// One direction between two nodes.
+/// One direction of the traffic between two nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Link {
     /// The sender.
@@ -45,19 +47,20 @@
 }
 
 impl Link {
-    /// The direction from one node to another.
+    /// The link that carries traffic from `from` to `to`.
     pub fn new(from: Node, to: Node) -> Link {
         Link { from, to }
     }
 
-    /// The other direction.
+    /// The opposite direction between the same nodes.
     pub fn reverse(self) -> Link {
         Link { from: self.to, to: self.from }
     }
 }
 
 impl Scenario {
-    /// The zone that a node is in; discovery is in none.
+    /// Index of the zone that a node is in. `None` for discovery, and for a lease holder or leader that has
+    /// not been resolved to a scheduler.
     pub fn zone(&self, node: Node) -> Option<usize> {
         match node {
             Node::Scheduler(number) | Node::Worker(number) => Some(self.zone_of(number)),
@@ -66,7 +69,7 @@
         }
     }
 
-    /// All nodes.
+    /// All nodes of the cluster: schedulers, workers, the clients of each zone, and discovery.
     pub fn nodes(&self) -> Vec<Node> {
         let mut nodes: Vec<Node> = (0..self.schedulers).map(Node::Scheduler).collect();
         nodes.extend((0..self.workers).map(Node::Worker));
@@ -75,13 +78,14 @@
         nodes
     }
 
-    /// The nodes that a name such as `scheduler 1`, `workers` or `zone north` stands for.
+    /// The nodes that a name such as `scheduler 1`, `workers` or `zone north` stands for; `None` if it is
+    /// unknown.
     pub fn nodes_named(&self, text: &str) -> Option<Vec<Node>> {
         let (kind, name) = text.split_once(' ').unwrap_or((text, ""));
-        if name.is_empty() { self.group(kind) } else { self.member(kind, name) }
+        if name.is_empty() { self.nodes_of_kind(kind) } else { self.nodes_of_kind_and_name(kind, name) }
     }
 
-    fn group(&self, kind: &str) -> Option<Vec<Node>> {
+    fn nodes_of_kind(&self, kind: &str) -> Option<Vec<Node>> {
         let all = self.nodes().into_iter();
         let nodes = match kind {
             "all" => all.collect(),
@@ -96,7 +100,7 @@
         Some(nodes)
     }
 
-    fn member(&self, kind: &str, name: &str) -> Option<Vec<Node>> {
+    fn nodes_of_kind_and_name(&self, kind: &str, name: &str) -> Option<Vec<Node>> {
         let all = self.nodes().into_iter();
         let number = || name.parse::<usize>().ok();
         let nodes = match kind {
--- a/crates/test-cluster/src/scenario/parse.rs
+++ b/crates/test-cluster/src/scenario/parse.rs
@@ -1,4 +1,4 @@
-//! Reads and checks a scenario's file as a whole.
+//! Parses and validates a whole scenario file.
 
 use super::document::{ClusterDocument, Document};
 use super::errors::{Problem, ScenarioErrors};
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// Reads a scenario's file.
+/// Parses and validates the text of a scenario file.
 pub fn read(path: &Path, text: &str) -> Result<Scenario, ScenarioErrors> {
     let mut reader = Reader::new(path, text);
     let document: Document = match toml::from_str(text) {
@@ -18,7 +18,7 @@
             return Err(reader.into_errors());
         }
     };
-    let mut scenario = read_numbers(&mut reader, &document);
+    let mut scenario = read_cluster_and_traffic(&mut reader, &document);
     if scenario.mix.iter().sum::<f64>() <= 0.0 {
         reader.report(0, Problem::NoTraffic);
     }
@@ -32,8 +32,8 @@
     if errors.0.is_empty() { Ok(scenario) } else { Err(errors) }
 }
 
-/// Everything but faults and expectations.
-fn read_numbers(r: &mut Reader, document: &Document) -> Scenario {
+/// Reads everything except faults and expectations.
+fn read_cluster_and_traffic(r: &mut Reader, document: &Document) -> Scenario {
     let (cluster, workers, traffic) = (&document.cluster, &document.workers, &document.traffic);
     let zones = cluster.zones.clone().filter(|z| !z.is_empty()).unwrap_or_else(|| vec!["north".into()]);
     let descriptors = cluster.descriptors.as_ref();
@@ -82,12 +82,12 @@
     zones: &[String],
 ) -> BTreeMap<String, Vec<usize>> {
     let mut regions = BTreeMap::new();
-    for (region, members) in &cluster.regions {
+    for (region, zone_names) in &cluster.regions {
         let indices: Vec<Option<usize>> =
-            (members.get_ref().iter()).map(|member| zones.iter().position(|zone| zone == member)).collect();
+            (zone_names.get_ref().iter()).map(|name| zones.iter().position(|zone| zone == name)).collect();
         if indices.contains(&None) {
             let problem = Problem::UnknownZone { region: region.clone(), zones: zones.join(", ") };
-            reader.report(members.span().start, problem);
+            reader.report(zone_names.span().start, problem);
         }
         regions.insert(region.clone(), indices.into_iter().flatten().collect());
     }
--- a/crates/test-cluster/src/scenario/reader.rs
+++ b/crates/test-cluster/src/scenario/reader.rs
@@ -1,4 +1,4 @@
-//! Reads values of a scenario's file, and collects what is wrong with them, each with its line.
+//! Range-checks the values of a scenario file and collects the errors, each with its line.
 
 use super::Scenario;
 use super::errors::{Problem, ScenarioError, ScenarioErrors};
@@ -6,7 +6,7 @@
 use std::path::Path;
 use toml::Spanned;
 
-/// Reads values and collects what is wrong with them.
+/// Reads values and collects errors instead of stopping at the first one.
 pub struct Reader<'a> {
     path: &'a Path,
     text: &'a str,
@@ -14,23 +14,23 @@
 }
 
 impl<'a> Reader<'a> {
-    /// A reader of this text, which stands in this file.
+    /// A reader of `text`; `path` is used in error messages only.
     pub fn new(path: &'a Path, text: &'a str) -> Reader<'a> {
         Reader { path, text, errors: Vec::new() }
     }
 
-    /// All that was wrong.
+    /// All errors reported so far, in the order in which the values were read.
     pub fn into_errors(self) -> ScenarioErrors {
         ScenarioErrors(self.errors)
     }
 
-    /// Adds a problem at a byte of the text.
+    /// Adds a problem at a byte offset of the text.
     pub fn report(&mut self, position: usize, problem: Problem) {
         let line = self.text[..position.min(self.text.len())].matches('\n').count() + 1;
         self.errors.push(ScenarioError { path: self.path.to_owned(), line, problem });
     }
 
-    /// A number, or its default where the file gives none.
+    /// A number from `min` to `max`; `default` if the file does not set it.
     pub fn number(
         &mut self,
         key: &str,
@@ -42,7 +42,7 @@
         self.optional_number(key, value, min, max).unwrap_or(default)
     }
 
-    /// A number, where the file gives one.
+    /// A number from `min` to `max`; `None` if the file does not set it.
     pub fn optional_number(
         &mut self,
         key: &str,
@@ -59,7 +59,7 @@
         Some(number)
     }
 
-    /// A whole number, or its default where the file gives none.
+    /// An integer from `min` to `max`; `default` if the file does not set it.
     pub fn count(
         &mut self,
         key: &str,
@@ -77,7 +77,7 @@
         number
     }
 
-    /// The nodes that names stand for, in order and each once.
+    /// The nodes that the names stand for, sorted and without duplicates.
     pub fn nodes(&mut self, key: &str, names: &[Spanned<String>], scenario: &Scenario) -> Vec<Node> {
         let mut nodes = Vec::new();
         for name in names {
--- a/crates/test-cluster/src/scenario/tests.rs
+++ b/crates/test-cluster/src/scenario/tests.rs
@@ -8,7 +8,7 @@
                     regions = { west = [\"north\"] }\n";
 
 #[test]
-fn a_zone_names_its_schedulers_workers_and_clients_and_one_line_cuts_it_off_bidirectionally() {
+fn a_zone_name_stands_for_its_schedulers_workers_and_clients_and_a_bidirectional_fault_isolates_them() {
     let text = format!(
         "{HEAD}[[fault]]\nkind = \"network\"\nat = 1.0\nuntil = 2\nfrom = [\"region west\"]\n\
          to = [\"zone south\", \"discovery\"]\nbidirectional = true\nblackhole = true\n"
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn each_error_names_the_file_the_line_the_key_and_the_remedy() {
+fn each_error_names_the_file_the_line_the_key_and_the_accepted_values() {
     let table = [
         ("[cluster]\nschedulers = 0", "a.toml:4: cluster.schedulers = 0: give a whole number from 1 to 32"),
         ("[cluster]\nschedulers = 2\nzone = 1", "a.toml:5: unknown field `zone`"),
@@ -60,7 +60,7 @@
         ),
         (
             "[cluster]\nschedulers = 2\n[[fault]]\nkind = \"network\"\nat = 1\nfrom = [\"all\"]\nto = [\"all\"]",
-            "a.toml:6: fault 1 (network): nothing happens on it",
+            "a.toml:6: fault 1 (network): no network condition is set",
         ),
         (
             "[cluster]\nschedulers = 2\n[[fault]]\nkind = \"boom\"\nat = 1",
@@ -77,21 +77,26 @@
         assert!(error.starts_with(start), "{text}\n-> {error}");
     }
     let two = "name = \"a\"\nwhy = \"b\"\n[cluster]\nschedulers = 0\n[workers]\ncount = 0\n";
-    assert_eq!(read(two).expect_err("two errors").to_string().lines().count(), 2, "all errors in one go");
+    assert_eq!(
+        read(two).expect_err("two errors").to_string().lines().count(),
+        2,
+        "all errors are reported at once"
+    );
 }
 
-/// A file with the keys, kinds and names of today, and one with those up to 365a0cf.
-const TODAY: &str = include_str!("tests/today.toml");
+/// The same scenario with the current keys, kinds and names, and with those that files used up to commit
+/// 365a0cf.
+const CURRENT: &str = include_str!("tests/today.toml");
 const FORMER: &str = include_str!("tests/former.toml");
 
 #[test]
-fn a_file_with_the_former_keys_and_kinds_reads_as_one_with_those_of_today() {
-    let today = read(TODAY).expect("a scenario");
+fn former_keys_and_kinds_are_read_as_the_current_ones() {
+    let current = read(CURRENT).expect("a scenario");
     let mut former = read(FORMER).expect("a scenario");
-    assert_eq!(today.faults.len(), 16, "one of each kind");
-    for (former, today) in former.faults.iter_mut().zip(&today.faults) {
-        // Reports show the words of the file.
-        former.label = today.label.clone();
+    assert_eq!(current.faults.len(), 16, "all kinds except silent-watches and discovery-overload");
+    for (former, current) in former.faults.iter_mut().zip(&current.faults) {
+        // Labels repeat the words of the file, so they differ.
+        former.label = current.label.clone();
     }
-    assert_eq!(former, today);
+    assert_eq!(former, current);
 }
