--- a/crates/test-cluster/src/stand_ins/clients.rs
+++ b/crates/test-cluster/src/stand_ins/clients.rs
@@ -1,4 +1,5 @@
-//! Clients: jobs in an open loop, and requests for a job under one `Idempotency-Key` until it is done.
+//! Stand-in for clients: they create jobs at an open-loop rate and retry each under the same
+//! `Idempotency-Key`.
 
 use super::http::JobRequest;
 use crate::Millis;
@@ -10,34 +11,34 @@
 #[cfg(test)]
 mod tests;
 
-/// The tenants of all scenarios.
+/// The tenants, the same in every scenario.
 pub const TENANTS: [&str; 2] = ["karoo-play", "vaal-games"];
-/// Users whose data jobs concern, a few of them often.
+/// Number of users whose data jobs access; the distribution is skewed towards low numbers.
 const USERS: f64 = 200.0;
 
-/// What a client wants done.
+/// A job of a client.
 #[derive(Clone, Debug)]
 pub struct Job {
     /// Index in [`CLASSES`].
     pub class: usize,
-    /// The client's zone.
+    /// Index of the client's zone.
     pub zone: usize,
     /// Index in [`TENANTS`].
     pub tenant: usize,
-    /// The user whose data it concerns.
+    /// Number of the user whose data it accesses.
     pub user: usize,
-    /// When the client gives up.
+    /// Time of the job's deadline.
     pub deadline: Millis,
-    /// Its run time on a warm worker.
+    /// Run time on a worker at full capacity.
     pub run_time: Millis,
-    /// Requests sent for it.
+    /// Number of requests sent for the job.
     pub requests: usize,
-    /// The client has finished with it.
+    /// Whether the job has ended, served or not; no more requests are sent for it.
     pub is_done: bool,
 }
 
 impl Job {
-    /// The bytes of a request for it.
+    /// The bytes of a request for the job, with the time left until its deadline as of `now`.
     pub fn request(&self, id: &str, idempotency_key: &str, now: Millis, body_bytes: usize) -> Vec<u8> {
         let request = JobRequest {
             class: CLASSES[self.class].name,
@@ -55,21 +56,21 @@
 /// What a client does after a request has ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum NextStep {
-    /// It is done with the job, served or not.
+    /// The job has ended.
     Done {
-        /// Whether it was served.
+        /// Whether the request was served, possibly late.
         served: bool,
     },
-    /// It sends another request at this time.
+    /// Sends another request at this time.
     RetryAt(Millis),
 }
 
-/// All clients.
+/// All clients of the cluster.
 #[derive(Debug)]
 pub struct ClientPopulation {
-    /// All jobs so far.
+    /// All jobs created so far, by number.
     pub jobs: Vec<Job>,
-    /// Multiplies the scenario's rate of jobs.
+    /// Multiplies the scenario's arrival rate; 1: normal.
     pub rate_factor: f64,
     per_second: f64,
     deadline: Millis,
@@ -81,7 +82,7 @@
 }
 
 impl ClientPopulation {
-    /// Clients without any jobs yet.
+    /// Clients that have not created any jobs.
     pub fn new(scenario: &Scenario) -> ClientPopulation {
         ClientPopulation {
             jobs: Vec::new(),
@@ -96,12 +97,12 @@
         }
     }
 
-    /// Time until the next job is created: uniformly distributed, with the mean that the rate gives.
+    /// Time until the next job is created: uniformly distributed from 0 to twice the mean interval.
     pub fn next_interval(&self, rng: &mut ChaCha8Rng) -> Millis {
         rng.random_range(0.0..2_000.0 / (self.per_second * self.rate_factor))
     }
 
-    /// Creates a job; gives its number.
+    /// Creates a job and returns its number.
     pub fn create_job(&mut self, now: Millis, rng: &mut ChaCha8Rng) -> usize {
         let mut at = rng.random_range(0.0..self.mix.iter().sum::<f64>());
         let class = self.mix.iter().position(|fraction| {
@@ -122,8 +123,8 @@
         self.jobs.len() - 1
     }
 
-    /// A request has ended. A client that was rejected or lost its connection sends another one; a client that got a
-    /// failure does not.
+    /// Handles the end of a request. Rejections and lost connections are retried while requests and time are
+    /// left, failures and time-outs are not. `retry_after` is the pause that a rejection asks for.
     pub fn handle_request_end(
         &mut self,
         now: Millis,
--- a/crates/test-cluster/src/stand_ins/clients/tests.rs
+++ b/crates/test-cluster/src/stand_ins/clients/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn clients_retry_after_a_loss_or_a_rejection_in_time_and_not_after_a_failure() {
+fn clients_retry_lost_connections_and_rejections_while_time_is_left_but_not_failures() {
     let mut clients = ClientPopulation::new(&scenario());
     let mut rng = rand::SeedableRng::seed_from_u64(1);
     let not_served = NextStep::Done { served: false };
--- a/crates/test-cluster/src/stand_ins/discovery.rs
+++ b/crates/test-cluster/src/stand_ins/discovery.rs
@@ -1,5 +1,5 @@
-//! Stand-in for discovery, by the protocol's page: an endpoint list with revisions, changes that are announced after a
-//! delay, and a list that may be stale.
+//! Stand-in for discovery, as the protocol's documentation describes it: an endpoint list with revisions.
+//! Changes can be announced with a delay, and the list that is served can be stale.
 
 use crate::Millis;
 use serde_json::{Value, json};
@@ -7,18 +7,19 @@
 #[cfg(test)]
 mod tests;
 
-/// What the list says of a worker.
+/// Status of a worker in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointStatus {
-    /// It accepts work.
+    /// Accepts jobs.
     Ready,
-    /// It accepts nothing new.
+    /// Accepts no new jobs.
     Draining,
-    /// It does not exist any more.
+    /// Removed. Watches are told so; a complete list leaves it out.
     Gone,
 }
 
 impl EndpointStatus {
+    /// Value of `status` on the wire.
     fn name(self) -> &'static str {
         match self {
             EndpointStatus::Ready => "ready",
@@ -32,11 +33,11 @@
 struct Entry {
     status: EndpointStatus,
     since_ms: f64,
-    /// The revision that changed it last.
+    /// The revision of the last change to this entry.
     revision: u64,
 }
 
-/// A change that is not announced yet.
+/// A change that has not been announced yet.
 #[derive(Clone, Copy, Debug)]
 struct PendingChange {
     due: Millis,
@@ -45,37 +46,37 @@
     since_ms: f64,
 }
 
-/// The list of a revision.
+/// The endpoint list at a revision; entries are indexed by worker number.
 #[derive(Clone, Debug)]
 struct Listing {
     revision: u64,
     entries: Vec<Entry>,
 }
 
-/// What a watch or a poll is answered with.
+/// Response to a watch or a poll.
 #[derive(Clone, Debug)]
 pub struct ListUpdate {
-    /// The document.
+    /// The JSON document to send.
     pub document: Value,
-    /// Workers in it that accept nothing new.
+    /// Workers in the document whose status is not ready.
     pub closed_workers: Vec<usize>,
 }
 
-/// The endpoint list, and the changes that come to it.
+/// The endpoint list and its pending changes.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
     current: Listing,
     pending: Vec<PendingChange>,
-    /// The list as it was, while that is what is served.
+    /// The outdated list that is served instead of the current one, if any.
     stale: Option<Listing>,
-    /// Changes are announced this much later.
+    /// Delay until a change is announced.
     pub delay: Millis,
-    /// The clock by which `since_ms` is written is off by this.
+    /// Offset of the clock from which `since_ms` is taken.
     pub clock_skew: Millis,
 }
 
 impl EndpointList {
-    /// A list of this many workers that have been ready for long.
+    /// A list of workers that are all ready, as of the Unix epoch.
     pub fn new(workers: usize) -> EndpointList {
         let entry = Entry { status: EndpointStatus::Ready, since_ms: 0.0, revision: 1 };
         EndpointList {
@@ -87,7 +88,8 @@
         }
     }
 
-    /// A worker has changed; this is announced after the delay. `started_at` is Unix time where it has just started.
+    /// Schedules a change of a worker's status, announced after the delay. `started_at` is the Unix time of
+    /// the worker's start if it has just started; otherwise `since_ms` stays as it is.
     pub fn change(&mut self, now: Millis, worker: usize, status: EndpointStatus, started_at: Option<Millis>) {
         let since_ms = match started_at {
             Some(unix) => unix + self.clock_skew,
@@ -96,12 +98,12 @@
         self.pending.push(PendingChange { due: now + self.delay, worker, status, since_ms });
     }
 
-    /// When the next change is announced.
+    /// When [`EndpointList::apply_due`] is due next; `None` without pending changes.
     pub fn next_change(&self) -> Option<Millis> {
         self.pending.iter().map(|change| change.due).min_by(f64::total_cmp)
     }
 
-    /// Applies the changes that are due; whether there were any.
+    /// Applies the changes that are due, each as a revision of its own. Returns whether there were any.
     pub fn apply_due(&mut self, now: Millis) -> bool {
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.pending).into_iter().partition(|change| change.due <= now);
@@ -114,7 +116,7 @@
         !due.is_empty()
     }
 
-    /// From now on the list is served as it is now, whatever changes; or as it is again.
+    /// If `stale`, serves the list as it is now until further notice; otherwise, the current one again.
     pub fn set_stale(&mut self, stale: bool) {
         self.stale = stale.then(|| self.current.clone());
     }
@@ -123,18 +125,19 @@
         self.stale.as_ref().unwrap_or(&self.current)
     }
 
-    /// Workers that accept nothing new by the list that is served now.
+    /// Workers whose status is not ready in the list that is served now.
     pub fn closed_workers(&self) -> impl Iterator<Item = usize> + '_ {
         let entries = self.served().entries.iter().enumerate();
         entries.filter(|(_, entry)| entry.status != EndpointStatus::Ready).map(|(worker, _)| worker)
     }
 
-    /// The revision that is served now.
+    /// Revision of the list that is served now.
     pub fn revision(&self) -> u64 {
         self.served().revision
     }
 
-    /// The changes after a revision, or the complete list for 0 and for a revision that is not known.
+    /// The changes after a revision, or the complete list for revision 0 and for one newer than the list.
+    /// `address` and `zone` give a worker's address and zone name.
     pub fn since(
         &self,
         revision: u64,
--- a/crates/test-cluster/src/stand_ins/discovery/tests.rs
+++ b/crates/test-cluster/src/stand_ins/discovery/tests.rs
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn changes_are_announced_after_the_delay_in_order_and_a_stale_list_stays_as_it_was() {
+fn changes_are_announced_in_order_after_the_delay_and_a_stale_list_does_not_change() {
     let mut list = EndpointList::new(3);
     list.delay = 100.0;
     list.change(0.0, 1, EndpointStatus::Draining, None);
@@ -28,7 +28,11 @@
     assert_eq!(names(&since(&list, 0)), ["w0 ready", "w1 draining", "w2 ready"]);
     list.set_stale(false);
     assert_eq!(names(&since(&list, 2)), ["w1 gone", "w2 ready"]);
-    assert_eq!(names(&since(&list, 0)), ["w0 ready", "w2 ready"], "the complete list names no gone ones");
+    assert_eq!(
+        names(&since(&list, 0)),
+        ["w0 ready", "w2 ready"],
+        "the complete list leaves out workers that are gone"
+    );
     assert_eq!(since(&list, 2)["endpoints"][1]["since_ms"], 5_000.0);
-    assert_eq!(since(&list, 9)["snapshot"], true, "a revision that is not known");
+    assert_eq!(since(&list, 9)["snapshot"], true, "the complete list for an unknown revision");
 }
--- a/crates/test-cluster/src/stand_ins/front_proxy.rs
+++ b/crates/test-cluster/src/stand_ins/front_proxy.rs
@@ -1,4 +1,5 @@
-//! The front proxy: sends connections to the schedulers that it believes to be up, and detects a death late.
+//! Stand-in for the front proxy: routes clients to the schedulers that its health checks show as up. A
+//! scheduler that stops answering stays in use for the detection delay.
 
 use crate::Millis;
 use crate::scenario::Scenario;
@@ -6,63 +7,68 @@
 #[cfg(test)]
 mod tests;
 
-/// What a health check showed.
+/// Result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// The scheduler answered that it is up.
+    /// The scheduler accepts clients.
     Up,
-    /// The scheduler answered that it takes no more.
+    /// The scheduler answered that it accepts no clients.
     Down,
     /// The scheduler did not answer.
     NoAnswer,
 }
 
-/// Which schedulers the front proxy believes to be up.
+/// Health and selection of schedulers.
 #[derive(Debug)]
 pub struct FrontProxy {
     is_up: Vec<bool>,
-    silent_since: Vec<Option<Millis>>,
+    /// When each scheduler first failed to answer, until it answers again.
+    unanswered_since: Vec<Option<Millis>>,
     detection_delay: Millis,
+    /// Zone index of each scheduler.
     zones: Vec<usize>,
+    /// Round-robin counter.
     next: usize,
 }
 
 impl FrontProxy {
-    /// A proxy that believes no scheduler to be up.
+    /// A front proxy that considers all schedulers down until health checks show otherwise.
     pub fn new(scenario: &Scenario) -> FrontProxy {
         FrontProxy {
             is_up: vec![false; scenario.schedulers],
-            silent_since: vec![None; scenario.schedulers],
+            unanswered_since: vec![None; scenario.schedulers],
             detection_delay: scenario.detection_delay,
             zones: (0..scenario.schedulers).map(|number| scenario.zone_of(number)).collect(),
             next: 0,
         }
     }
 
-    /// Whether it believes all schedulers to be up.
+    /// Whether all schedulers are considered up.
     pub fn all_up(&self) -> bool {
         self.is_up.iter().all(|&up| up)
     }
 
-    /// Whether it believes a scheduler to be up.
+    /// Whether a scheduler is considered up; false for numbers that do not exist.
     pub fn is_up(&self, scheduler: usize) -> bool {
         self.is_up.get(scheduler).is_some_and(|&up| up)
     }
 
-    /// Takes in the result of a health check.
+    /// Processes the result of a health check. An answer counts at once, missing answers only after the
+    /// detection delay.
     pub fn handle_health(&mut self, now: Millis, scheduler: usize, health: Health) {
         if health != Health::NoAnswer {
             self.is_up[scheduler] = health == Health::Up;
-            self.silent_since[scheduler] = None;
+            self.unanswered_since[scheduler] = None;
             return;
         }
-        let since = *self.silent_since[scheduler].get_or_insert(now);
+        let since = *self.unanswered_since[scheduler].get_or_insert(now);
         if now - since >= self.detection_delay {
             self.is_up[scheduler] = false;
         }
     }
 
-    /// The scheduler for a connection from a zone: those of the zone in turn, others where none is up there.
+    /// Selects a scheduler for a connection from a zone: round-robin among those of the zone that are up, or
+    /// among all that are up if the zone has none. `None` if none is up.
     pub fn select(&mut self, zone: usize) -> Option<usize> {
         self.next += 1;
         let up = |local_only: bool| -> Vec<usize> {
--- a/crates/test-cluster/src/stand_ins/front_proxy/tests.rs
+++ b/crates/test-cluster/src/stand_ins/front_proxy/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn the_front_proxy_keeps_to_a_zone_and_detects_a_death_late() {
+fn clients_stay_in_their_zone_and_a_silent_scheduler_is_in_use_until_the_detection_delay_is_over() {
     let mut front = FrontProxy::new(&scenario());
     assert_eq!(front.select(0), None);
     (0..4).for_each(|at| front.handle_health(0.0, at, Health::Up));
--- a/crates/test-cluster/src/stand_ins/http.rs
+++ b/crates/test-cluster/src/stand_ins/http.rs
@@ -1,67 +1,67 @@
-//! HTTP/1.1 as the stand-ins speak it: complete requests and responses are taken off a buffer, and built as bytes.
+//! Minimal HTTP/1.1 for the stand-ins: takes complete requests and responses off a buffer, and encodes them.
 
 use serde_json::Value;
 
 #[cfg(test)]
 mod tests;
 
-/// Headers that are read at most; a message with more is never complete.
+/// Maximum number of headers; a message with more is never recognised as complete.
 const MAX_HEADERS: usize = 32;
-/// The head of a response whose body is sent in chunks.
+/// The head of a response with chunked transfer coding.
 pub const CHUNKED_HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// The end of a body that is sent in chunks.
+/// The end of a chunked body.
 pub const LAST_CHUNK: &[u8] = b"0\r\n\r\n";
-/// An empty line as a chunk: the keep-alive of a watch.
+/// A chunk with an empty line: the keep-alive of a watch.
 pub const EMPTY_LINE_CHUNK: &[u8] = b"1\r\n\n\r\n";
-/// The response to a request for something that a stand-in does not have.
+/// The response to a request for a path that a stand-in does not serve.
 pub const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
-/// The response to an attempt that is returned without being executed.
+/// A worker's response to an attempt that it returns without executing it.
 pub const NEVER_RAN: &[u8] =
     b"HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
-/// The response of overloaded discovery.
+/// The response of discovery to a request that has waited too long under overload.
 pub const UNAVAILABLE: &[u8] = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
-/// The response to an attempt that fails before anything was sent of its result.
+/// A worker's response to an attempt that fails before the response head has been sent.
 pub const SERVER_ERROR: &[u8] = b"HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
 /// The front proxy's health check.
 pub const HEALTH_CHECK: &[u8] = b"GET /up HTTP/1.1\r\nHost: test-cluster\r\n\r\n";
 
 type Headers = Vec<(String, String)>;
 
-/// A request as a stand-in reads it.
+/// A received request. Its body is discarded.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Path and query.
+    /// Path and query string.
     pub target: String,
     headers: Headers,
 }
 
 impl Request {
-    /// The value of a header, by its name in lower case.
+    /// The value of a header; `name` in lower case.
     pub fn header(&self, name: &str) -> Option<&str> {
         find(&self.headers, name)
     }
 
-    /// The value of a parameter of the query.
+    /// The value of a parameter of the query string.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
         query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='))
     }
 }
 
-/// A response as a stand-in reads it.
+/// A received response.
 #[derive(Clone, Debug)]
 pub struct Response {
-    /// Its status.
+    /// Status code.
     pub status: u16,
-    /// The pause that it asks for, in seconds.
+    /// Value of `Retry-After`, in seconds; fractions are accepted.
     pub retry_after: Option<f64>,
-    /// Whether it ends its connection.
+    /// Whether it has `Connection: close`.
     pub closes: bool,
-    /// Its body.
+    /// Body, with the transfer coding removed.
     pub body: Vec<u8>,
 }
 
-/// Takes a complete request off the front of what has been read.
+/// Removes a complete request from the front of the input; `None` while it is incomplete or invalid.
 pub fn take_request(input: &mut Vec<u8>) -> Option<Request> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut request = httparse::Request::new(&mut headers);
@@ -76,7 +76,7 @@
     Some(Request { target, headers })
 }
 
-/// Takes a complete response off the front of what has been read.
+/// Removes a complete response from the front of the input; `None` while it is incomplete or invalid.
 pub fn take_response(input: &mut Vec<u8>) -> Option<Response> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut response = httparse::Response::new(&mut headers);
@@ -100,7 +100,8 @@
     })
 }
 
-/// The body in chunks that begins at `start`, and its end; `None` while it is not complete.
+/// The chunked body that begins at `start`, decoded, and the offset of its end; `None` while it is
+/// incomplete.
 fn chunked_body(input: &[u8], start: usize) -> Option<(Vec<u8>, usize)> {
     let (mut body, mut at) = (Vec::new(), start);
     loop {
@@ -132,39 +133,39 @@
     find(headers, "content-length").and_then(|value| value.parse().ok()).unwrap_or(0)
 }
 
-/// A line of JSON as a chunk.
+/// A chunk with a line of JSON.
 pub fn json_chunk(line: &Value) -> Vec<u8> {
     let text = line.to_string();
     format!("{:x}\r\n{text}\n\r\n", text.len() + 1).into_bytes()
 }
 
-/// A complete response with a body of JSON.
+/// A complete response with a JSON body.
 pub fn json_response(body: &Value) -> Vec<u8> {
     let body = body.to_string();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes()
 }
 
-/// The request for a job.
+/// A client's request for a job.
 #[derive(Clone, Debug)]
 pub struct JobRequest<'a> {
-    /// Its class.
+    /// Class of the job: first segment of the path, and `X-Qos`.
     pub class: &'a str,
-    /// Its tenant.
+    /// Tenant: `X-Customer`.
     pub tenant: &'a str,
-    /// The user whose data it concerns.
+    /// Number of the user whose data the job accesses: second segment of the path.
     pub user: usize,
-    /// `X-Trace-Id`.
+    /// Id of the request: `X-Trace-Id`.
     pub id: &'a str,
-    /// `Idempotency-Key`.
+    /// The same for all requests for a job: `Idempotency-Key`.
     pub idempotency_key: &'a str,
-    /// Time until its deadline, in milliseconds.
+    /// Time until the job's deadline, in milliseconds: `X-Expires-In-Ms`.
     pub time_left: f64,
-    /// Length of its body.
+    /// Length of the body, in bytes.
     pub body_bytes: usize,
 }
 
 impl JobRequest<'_> {
-    /// The request as it is written.
+    /// Encodes the request.
     pub fn to_bytes(&self) -> Vec<u8> {
         let JobRequest { class, tenant, user, id, idempotency_key, time_left, body_bytes } = self;
         let mut bytes = format!(
--- a/crates/test-cluster/src/stand_ins/http/tests.rs
+++ b/crates/test-cluster/src/stand_ins/http/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn responses_are_read_with_a_length_and_in_chunks_and_only_when_complete() {
+fn responses_with_a_length_or_in_chunks_are_read_once_they_are_complete() {
     let mut input = b"HTTP/1.1 503 No\r\nRetry-After: 0.5\r\nContent-Length: 2\r\n\r\nno".to_vec();
     let mut short = input[..input.len() - 1].to_vec();
     assert!(take_response(&mut short).is_none());
--- a/crates/test-cluster/src/stand_ins/mod.rs
+++ b/crates/test-cluster/src/stand_ins/mod.rs
@@ -1,5 +1,6 @@
-//! What stands in for the world around the schedulers, as state machines: workers, discovery, clients and the front
-//! proxy, and the HTTP that they speak. No I/O, no clock; [`crate::cluster`] connects them to sockets.
+//! Stand-ins for everything that the schedulers talk to, as state machines: workers, discovery, clients and
+//! the front proxy, and the HTTP between them. No I/O; callers pass the time. [`crate::cluster`] connects
+//! them to sockets.
 
 pub mod clients;
 pub mod discovery;
--- a/crates/test-cluster/src/stand_ins/workers.rs
+++ b/crates/test-cluster/src/stand_ins/workers.rs
@@ -1,5 +1,6 @@
-//! Stand-in for workers, by the protocol's page: slots and a queue, a warm-up, drains, restarts, slowness and failures.
-//! Attempts under an idempotency key that a zone's workers have executed are dropped by all of them for a while.
+//! Stand-in for workers, as the protocol's documentation describes them: slots and a queue, warm-up, drains,
+//! restarts, slowness and failures. After an execution under an idempotency key, all workers of the zone drop
+//! duplicates for [`DEDUPLICATION_WINDOW`].
 
 use crate::history::HistoryEvent;
 use crate::scenario::{DEDUPLICATION_WINDOW, Scenario};
@@ -15,42 +16,42 @@
 /// Time until a failing worker reports the failure.
 const TIME_TO_FAILURE: Millis = 3.0;
 
-/// An attempt as it reached a worker.
+/// An attempt received by a worker.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Where its response goes.
+    /// Connection that the response is sent on.
     pub connection: ConnectionId,
-    /// `X-Trace-Id`.
+    /// Value of `X-Trace-Id`.
     pub id: String,
-    /// `Idempotency-Key`.
+    /// Value of `Idempotency-Key`.
     pub idempotency_key: Option<String>,
-    /// Whether its class is deduplicated by that key.
+    /// Whether workers deduplicate jobs of its class by that key.
     pub is_deduplicated: bool,
-    /// Its run time on a warm worker.
+    /// Run time on a worker at full capacity.
     pub run_time: Millis,
 }
 
 /// A part of a worker's response.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// A line of the response; the head goes before the first one.
+    /// A line of the response body; the response head is sent before the first one.
     Line(Value),
-    /// The last line.
+    /// The last line of the response body.
     LastLine(Value),
-    /// 503 with `X-Never-Ran`.
+    /// Status 503 with `X-Never-Ran`: the attempt is returned without being executed.
     Returned,
-    /// A failure.
+    /// The execution failed: status 500, or a last line that says so if the head has been sent.
     Failed,
     /// The connection is reset.
     Reset,
 }
 
-/// What workers did since the last call.
+/// Replies and events since the last call of [`WorkerPool::take_progress`].
 #[derive(Debug, Default)]
 pub struct Progress {
-    /// Replies, each with its connection.
+    /// Replies in order, each with the connection to send it on.
     pub replies: Vec<(ConnectionId, Reply)>,
-    /// For the history.
+    /// Events for the history, in order.
     pub events: Vec<HistoryEvent>,
 }
 
@@ -59,7 +60,7 @@
     attempt: Attempt,
     ends_at: Millis,
     fails: bool,
-    /// A duplicate that waits for the first one's result; it holds no slot.
+    /// A duplicate that waits for the result of the first execution; it occupies no slot.
     is_duplicate: bool,
 }
 
@@ -67,22 +68,25 @@
 struct Worker {
     executions: Vec<Execution>,
     queue: VecDeque<Attempt>,
+    /// Start of the warm-up; `None`: at full capacity since the run began.
     started_at: Option<Millis>,
+    /// Multiplies run times.
     slowness: f64,
-    failing: f64,
+    /// Fraction of executions that fail.
+    failure_fraction: f64,
     is_draining: bool,
     is_dead: bool,
 }
 
 impl Worker {
-    /// Warm and idle.
+    /// A worker that is warm and idle.
     fn new() -> Worker {
         Worker {
             executions: Vec::new(),
             queue: VecDeque::new(),
             started_at: None,
             slowness: 1.0,
-            failing: 0.0,
+            failure_fraction: 0.0,
             is_draining: false,
             is_dead: false,
         }
@@ -100,60 +104,61 @@
     ends_at: Millis,
 }
 
-/// An idempotency key in its zone.
+/// A zone's index and an idempotency key: each zone deduplicates separately.
 type ZoneKey = (usize, String);
 
-/// All workers.
+/// All workers of the cluster.
 #[derive(Debug)]
 pub struct WorkerPool {
     workers: Vec<Worker>,
     executed_keys: HashMap<ZoneKey, FirstExecution>,
     zones: usize,
     slots: usize,
-    queue_length: usize,
+    queue_capacity: usize,
     warm_up: Millis,
     initial_capacity: f64,
     progress: Progress,
 }
 
 impl WorkerPool {
-    /// Warm, idle workers.
+    /// The scenario's workers, warm and idle.
     pub fn new(scenario: &Scenario) -> WorkerPool {
         WorkerPool {
             workers: (0..scenario.workers).map(|_| Worker::new()).collect(),
             executed_keys: HashMap::new(),
             zones: scenario.zones.len(),
             slots: scenario.slots,
-            queue_length: scenario.queue,
+            queue_capacity: scenario.queue,
             warm_up: scenario.warm_up,
             initial_capacity: scenario.initial_capacity,
             progress: Progress::default(),
         }
     }
 
-    /// What workers did since the last call.
+    /// Replies and events since the last call.
     pub fn take_progress(&mut self) -> Progress {
         std::mem::take(&mut self.progress)
     }
 
-    /// When something happens next by itself.
+    /// When [`WorkerPool::handle_timeout`] is due next; `None` while nothing is executed.
     pub fn next_timeout(&self) -> Option<Millis> {
         let executions = self.workers.iter().flat_map(|worker| &worker.executions);
         executions.map(|execution| execution.ends_at).min_by(f64::total_cmp)
     }
 
-    /// Whether a worker is alive.
+    /// False from a worker's death until it is started again.
     pub fn is_alive(&self, worker: usize) -> bool {
         !self.workers[worker].is_dead
     }
 
-    /// An attempt has arrived completely.
+    /// Queues an attempt whose request is complete. A worker that drains or has no free slot and a full queue
+    /// returns it, a dead one resets the connection.
     pub fn handle_attempt(&mut self, now: Millis, number: usize, attempt: Attempt, rng: &mut ChaCha8Rng) {
         let worker = &mut self.workers[number];
         let has_slot = worker.used_slots() < self.slots;
         if worker.is_dead {
             self.progress.replies.push((attempt.connection, Reply::Reset));
-        } else if worker.is_draining || (!has_slot && worker.queue.len() >= self.queue_length) {
+        } else if worker.is_draining || (!has_slot && worker.queue.len() >= self.queue_capacity) {
             let request = attempt.id.clone();
             self.progress.events.push(HistoryEvent::AttemptReturned { at: now, request, worker: number });
             self.progress.replies.push((attempt.connection, Reply::Returned));
@@ -163,7 +168,7 @@
         }
     }
 
-    /// Starts attempts from the queue while there are slots.
+    /// Starts queued attempts while slots are free.
     fn start_queued(&mut self, now: Millis, number: usize, rng: &mut ChaCha8Rng) {
         while self.workers[number].used_slots() < self.slots {
             let Some(attempt) = self.workers[number].queue.pop_front() else { return };
@@ -176,12 +181,13 @@
         }
     }
 
-    /// The key by which an attempt is deduplicated, if it is.
+    /// The key by which an attempt is deduplicated; `None` if it is not.
     fn zone_key(&self, number: usize, attempt: &Attempt) -> Option<ZoneKey> {
         let key = attempt.idempotency_key.clone().filter(|_| attempt.is_deduplicated)?;
         Some((number % self.zones, key))
     }
 
+    /// Answers a duplicate when the first execution ends, without executing it.
     fn drop_duplicate(&mut self, now: Millis, number: usize, attempt: Attempt, first: FirstExecution) {
         let request = attempt.id.clone();
         self.progress.events.push(HistoryEvent::AttemptDeduplicated { at: now, request, worker: number });
@@ -200,7 +206,7 @@
     ) {
         let capacity = self.capacity(now, number);
         let worker = &mut self.workers[number];
-        let fails = rng.random::<f64>() < worker.failing;
+        let fails = rng.random::<f64>() < worker.failure_fraction;
         let run_time = if fails { TIME_TO_FAILURE } else { attempt.run_time * worker.slowness / capacity };
         let ends_at = now + run_time;
         if !fails {
@@ -214,7 +220,7 @@
         worker.executions.push(Execution { attempt, ends_at, fails, is_duplicate: false });
     }
 
-    /// Fraction of its capacity that a worker has.
+    /// Fraction of its full capacity that a worker has; grows linearly while it warms up.
     fn capacity(&self, now: Millis, number: usize) -> f64 {
         match self.workers[number].started_at {
             Some(since) if now < since + self.warm_up => {
@@ -224,7 +230,7 @@
         }
     }
 
-    /// Ends the executions that are due.
+    /// Finishes the executions that have ended by now, and starts queued attempts in their slots.
     pub fn handle_timeout(&mut self, now: Millis, rng: &mut ChaCha8Rng) {
         for number in 0..self.workers.len() {
             let executions = std::mem::take(&mut self.workers[number].executions);
@@ -241,7 +247,7 @@
         }
     }
 
-    /// Reports the end of an execution, with the worker's load.
+    /// Replies with the result of an execution and the worker's load.
     fn finish(&mut self, now: Millis, number: usize, execution: Execution) {
         let Execution { attempt, fails, .. } = execution;
         if fails {
@@ -259,7 +265,8 @@
         self.progress.replies.push((attempt.connection, Reply::LastLine(line)));
     }
 
-    /// A connection has ended: what is queued for it never runs, what runs is wasted.
+    /// Handles the end of a connection: its queued attempts never run, and its executions are aborted without
+    /// a result.
     pub fn handle_connection_end(
         &mut self,
         now: Millis,
@@ -273,22 +280,22 @@
         self.start_queued(now, number, rng);
     }
 
-    /// It accepts nothing new, or accepts work again.
+    /// Sets whether a worker returns all new attempts.
     pub fn set_draining(&mut self, number: usize, draining: bool) {
         self.workers[number].is_draining = draining;
     }
 
-    /// It takes this many times as long, from the next job on.
+    /// Multiplies a worker's run times, for executions that start from now on; 1: normal.
     pub fn set_slowness(&mut self, number: usize, factor: f64) {
         self.workers[number].slowness = factor;
     }
 
-    /// It fails this fraction of what it gets.
+    /// Sets the fraction of executions that fail on a worker, for those that start from now on.
     pub fn set_failing(&mut self, number: usize, fraction: f64) {
-        self.workers[number].failing = fraction;
+        self.workers[number].failure_fraction = fraction;
     }
 
-    /// It dies, and what it held with it.
+    /// Stops a worker; its executions and queue are lost.
     pub fn kill(&mut self, number: usize) {
         let worker = &mut self.workers[number];
         (worker.is_dead, worker.is_draining) = (true, false);
@@ -296,7 +303,7 @@
         worker.queue.clear();
     }
 
-    /// It starts, and warms up.
+    /// Starts a worker, or restarts it; it begins to warm up.
     pub fn start(&mut self, now: Millis, number: usize) {
         self.kill(number);
         let worker = &mut self.workers[number];
--- a/crates/test-cluster/src/stand_ins/workers/tests.rs
+++ b/crates/test-cluster/src/stand_ins/workers/tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn slots_execute_the_queue_waits_and_the_rest_is_returned_unexecuted() {
+fn attempts_beyond_the_slots_are_queued_and_those_beyond_the_queue_are_returned_unexecuted() {
     let (mut pool, mut rng) = pool("slots = 2\nqueue = 1");
     (0..4).for_each(|n| pool.handle_attempt(0.0, 0, attempt(n, &n.to_string(), None), &mut rng));
     let Progress { replies, events } = pool.take_progress();
@@ -30,12 +30,12 @@
     assert_eq!(pool.next_timeout(), Some(100.0));
     pool.handle_timeout(100.0, &mut rng);
     let Progress { replies, events } = pool.take_progress();
-    assert_eq!(started(&events), 1, "the one that waited");
+    assert_eq!(started(&events), 1, "the queued attempt");
     assert_eq!(replies.iter().filter(|reply| matches!(reply.1, Reply::LastLine(_))).count(), 2);
 }
 
 #[test]
-fn a_duplicate_is_dropped_in_its_zone_and_window_and_runs_elsewhere_or_later() {
+fn a_duplicate_is_dropped_within_zone_and_window_and_runs_in_another_zone_or_later() {
     let (mut pool, mut rng) = pool("slots = 3");
     let table = [(0, 0.0, 1), (2, 50.0, 0), (1, 60.0, 1), (0, 7_000.0, 0), (0, 7_600.0, 1)];
     for (number, (worker, at, runs)) in table.into_iter().enumerate() {
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_worker_that_warms_up_is_slow_a_dead_one_resets_and_a_failing_one_fails() {
+fn a_cold_worker_is_slow_a_dead_one_resets_connections_and_a_failing_one_fails_attempts() {
     let (mut pool, mut rng) = pool("warm-up-ms = 1000\ninitial-capacity = 0.5");
     pool.start(0.0, 0);
     pool.handle_attempt(0.0, 0, attempt(0, "a", None), &mut rng);
@@ -63,5 +63,5 @@
     assert!(replies.contains(&(1, Reply::Reset)) && replies.contains(&(2, Reply::Failed)), "{replies:?}");
     assert_eq!(started(&events), 1);
     pool.handle_connection_end(10.0, 0, 0, &mut rng);
-    assert_eq!(pool.next_timeout(), None, "its client left");
+    assert_eq!(pool.next_timeout(), None, "its connection has ended");
 }
