--- a/crates/simulator/src/error.rs
+++ b/crates/simulator/src/error.rs
@@ -1,88 +1,89 @@
-//! What keeps the simulator from running. The texts are what the program prints.
+//! Errors of the simulator. Their texts are printed to the user.
 
 use std::io;
 use std::path::PathBuf;
 
-/// What is wrong in the text of an experiment's file.
+/// An error in the text of an experiment file.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
-    /// It is not TOML, or a key is missing, unknown or of another type. The text names line and column.
+    /// The text is not valid TOML, or a key is missing, unknown or of the wrong type. The message names line
+    /// and column.
     #[error(transparent)]
     Syntax(#[from] toml::de::Error),
-    /// Values that no run can have, a line each.
-    #[error("{}", lines(.0))]
+    /// Values are invalid. The message has a line for each.
+    #[error("{}", join_lines(.0))]
     InvalidValues(Vec<InvalidValue>),
 }
 
-/// A value that no run can have.
+/// An invalid value in an experiment file.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum InvalidValue {
-    /// A number is too small or too large, or not a number.
+    /// A number is out of range, or NaN.
     #[error("{key} = {value}: give a number from {min} to {max}")]
     OutOfRange {
-        /// The key with the table or the fault that it is in.
+        /// The key, prefixed with its table or fault.
         key: String,
-        /// What the file says.
+        /// The value in the file.
         value: f64,
-        /// The least value that is valid.
+        /// The smallest valid value.
         min: f64,
-        /// The greatest value that is valid.
+        /// The largest valid value.
         max: f64,
     },
-    /// Of two faults of a kind, the end of one would end the other.
-    #[error("faults {first} and {second} ({kind}) overlap: let one end first")]
+    /// Two faults of the same kind overlap: the end of one would also end the other.
+    #[error("faults {first} and {second} ({kind}) overlap: one must end before the other starts")]
     OverlappingFaults {
-        /// The earlier one's number in the file, from 1.
+        /// Position in the file of the fault that is listed first, counted from 1.
         first: usize,
-        /// The later one's number.
+        /// Position of the other fault.
         second: usize,
-        /// The kind of both.
+        /// The kind of both faults, as it is written in the file.
         kind: &'static str,
     },
 }
 
-fn lines(values: &[InvalidValue]) -> String {
+fn join_lines(values: &[InvalidValue]) -> String {
     values.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n")
 }
 
-/// An error that ends a command of the program.
+/// An error that aborts a command of the program.
 #[derive(Debug, thiserror::Error)]
 pub enum SimulatorError {
-    /// A file can't be read.
+    /// A file could not be read.
     #[error("{}: {source}", .path.display())]
     ReadFile {
         /// The file.
         path: PathBuf,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// An experiment's file has an error.
+    /// An experiment file is invalid.
     #[error("{}: {source}", .path.display())]
     InvalidExperiment {
         /// The file.
         path: PathBuf,
-        /// What is wrong in it, and where.
+        /// The error in the file.
         source: ExperimentError,
     },
-    /// A value on the command line is out of its range.
+    /// A value on the command line is out of range.
     #[error("{option}: give numbers from {min} to {max}")]
     InvalidOption {
-        /// The option as it is written.
+        /// The option as it is written on the command line, with its dashes.
         option: &'static str,
-        /// The least value that is valid.
+        /// The smallest valid value.
         min: f64,
-        /// The greatest value that is valid.
+        /// The largest valid value.
         max: f64,
     },
-    /// A row of a table can't be written as JSON.
-    #[error("a row as JSON: {0}")]
+    /// A row of a table could not be serialized as JSON.
+    #[error("cannot serialize a row as JSON: {0}")]
     Json(#[from] serde_json::Error),
-    /// A plot can't be drawn.
+    /// A plot could not be drawn.
     #[error("{}: {source}", .path.display())]
     Plot {
-        /// The file that it was to be written to.
+        /// The file that the plot is written to.
         path: PathBuf,
-        /// The drawing library's error.
+        /// The error of the drawing library.
         source: Box<dyn std::error::Error + Send + Sync>,
     },
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,5 +1,5 @@
-//! The program `brackenledge-simulator`: simulations on a virtual clock, and scenarios on a test cluster of processes on
-//! loopback.
+//! The program `brackenledge-simulator`: runs simulations on a virtual clock, and scenarios on a test cluster
+//! of real processes on loopback.
 
 mod emulate;
 mod members;
@@ -13,13 +13,14 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The exit code if a scheduler broke a rule, or a scenario did not meet its file's expectations.
-const EXIT_RULE_BROKEN: u8 = 2;
+/// Exit code if a scheduler violated a rule, or a scenario did not meet the expectations in its file.
+const EXIT_CHECK_FAILED: u8 = 2;
 
-/// Simulates fleets of schedulers on a virtual clock, with the schedulers' own decisions, and runs scenarios on real
-/// processes.
+/// Simulates fleets of schedulers on a virtual clock, using the schedulers' own decision code, and runs
+/// scenarios on real processes.
 ///
-/// An experiment is a TOML file; experiments/ has examples, docs/simulator.md every key. Equal files and seeds give equal runs.
+/// An experiment is a TOML file: experiments/ has examples, and docs/simulator.md documents every key. The
+/// same file and seed always give the same run.
 #[derive(Parser)]
 #[command(version)]
 struct Arguments {
@@ -29,36 +30,37 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Runs an experiment: a line for each second, and a summary. Exits with 2 if the scheduler broke a rule; baselines,
-    /// where the file names some, may.
+    /// Runs an experiment and prints a line for each second and a summary. Exits with 2 if the schedulers'
+    /// own policy violated a rule; violations by the baselines that the file names do not count.
     Emulate(emulate::Options),
-    /// Runs scenarios on real processes of the scheduler, with faults on every link, and checks their history.
-    /// Exits with 2 if a scenario did not meet its file's expectations. docs/test-cluster.md has every key.
+    /// Runs scenarios on real scheduler processes, with fault injection on every link, and checks the
+    /// recorded history. Exits with 2 if a scenario did not meet the expectations in its file.
+    /// docs/test-cluster.md documents every key.
     #[command(alias = "tier")]
     Scenario(scenario::Options),
-    /// Simulates membership in clusters of several sizes under message loss: how soon a crash is noticed, how often a
-    /// running process is declared down, and what it costs.
+    /// Simulates cluster membership for several cluster sizes and rates of message loss. Prints a table of
+    /// detection times, false positives, traffic and CPU time.
     Members(members::Options),
-    /// Simulates six zones in three regions as flows of work, a zone and then a region without workers, under several
-    /// strategies to route work elsewhere: a table by load, and a plot.
+    /// Simulates six zones in three regions as fluid flows of work, with an outage of a zone and then of a
+    /// region, under several routing strategies. Prints a table by load and can draw a plot.
     Zones(zone_sweep::Options),
-    /// Parses an experiment and says what is wrong with it.
+    /// Parses an experiment file and reports the errors in it.
     Check {
-        /// The experiment.
+        /// The experiment's TOML file.
         file: PathBuf,
     },
 }
 
-/// Executes a command; whether all that it judges passed.
+/// Executes a command. Returns whether everything that it checks has passed.
 fn execute(command: Command) -> Result<bool, Box<dyn Error>> {
     match command {
         Command::Emulate(options) => return Ok(emulate::emulate(&options)?),
-        Command::Scenario(options) => return Ok(scenario::play(&options)?),
+        Command::Scenario(options) => return Ok(scenario::run_scenarios(&options)?),
         Command::Members(options) => members::run(&options)?,
         Command::Zones(options) => zone_sweep::run(&options)?,
         Command::Check { file } => {
             Experiment::load(&file)?;
-            println!("{}: an experiment", file.display());
+            println!("{}: valid experiment", file.display());
         }
     }
     Ok(true)
@@ -67,7 +69,7 @@
 fn main() -> ExitCode {
     match execute(Arguments::parse().command) {
         Ok(true) => ExitCode::SUCCESS,
-        Ok(false) => ExitCode::from(EXIT_RULE_BROKEN),
+        Ok(false) => ExitCode::from(EXIT_CHECK_FAILED),
         Err(error) => {
             eprintln!("brackenledge-simulator: {error}");
             ExitCode::FAILURE
--- a/crates/simulator/src/members.rs
+++ b/crates/simulator/src/members.rs
@@ -1,4 +1,4 @@
-//! `brackenledge-simulator members`: membership by size of the cluster and loss, a table.
+//! `brackenledge-simulator members`: a table of membership results by cluster size and message loss.
 
 use brackenledge_simulator::SimulatorError;
 use brackenledge_simulator::membership::{MembershipResult, MembershipScenario, quantile};
@@ -10,22 +10,24 @@
 const SECONDS_PER_MINUTE: f64 = 60.0;
 const MINUTES_PER_HOUR: f64 = 60.0;
 
-const HEADING: &str = "| schedulers | loss | first to notice, median s | each, median | each, 99th | false deaths an hour | views of \
-                       them | bytes a second, each sends | messages a second | CPU of one, part of a core |\n\
+const HEADING: &str = "| schedulers | loss | first detection, median s | all detections, median s \
+                       | all detections, p99 s | false positives per hour | false reports in total \
+                       | bytes/s sent per scheduler | messages/s sent per scheduler \
+                       | CPU per scheduler, fraction of a core |\n\
                        | --- | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Sizes of the clusters, one row each.
+    /// Cluster sizes. Each is run with every rate of loss.
     #[arg(long, value_delimiter = ',', default_value = "4,40,300")]
     schedulers: Vec<usize>,
-    /// Parts of the messages that are lost, one row each.
+    /// Fractions of the messages that are lost.
     #[arg(long, value_delimiter = ',', default_value = "0,0.1,0.3,0.5")]
     loss: Vec<f64>,
-    /// Length of each run on the virtual clock.
+    /// Length of each run on the virtual clock, without the warm-up.
     #[arg(long, default_value_t = 10.0)]
     minutes: f64,
-    /// For all that is random.
+    /// Seed of the random numbers of each run.
     #[arg(long, default_value_t = 1)]
     seed: u64,
 }
@@ -44,7 +46,7 @@
     }
 }
 
-/// Runs all scenarios that were asked for and prints a table.
+/// Runs a scenario for each combination of cluster size and loss, and prints a table with a row for each.
 pub fn run(options: &Options) -> Result<(), SimulatorError> {
     options.validate()?;
     println!("{HEADING}");
@@ -67,8 +69,8 @@
         quantile(&mut result.first_detections, 0.5) / MILLIS_PER_SECOND,
         quantile(&mut result.detections, 0.5) / MILLIS_PER_SECOND,
         quantile(&mut result.detections, 0.99) / MILLIS_PER_SECOND,
-        result.false_deaths as f64 / hours,
-        result.false_death_views,
+        result.false_positives as f64 / hours,
+        result.false_positive_reports,
         result.bytes as f64 / scheduler_seconds,
         result.messages as f64 / scheduler_seconds,
         result.cpu_per_scheduler
--- a/crates/simulator/src/membership.rs
+++ b/crates/simulator/src/membership.rs
@@ -1,8 +1,9 @@
-//! Membership in clusters of any size on a virtual clock: how soon a crash is noticed, how often a running process is
-//! declared down, and what that costs.
+//! Simulates cluster membership on a virtual clock: how soon a crash is detected, how often a running process
+//! is falsely declared down, and what the protocol costs in messages and CPU time.
 //!
-//! A run is a function of its [`MembershipScenario`], but for the processor time. Each scheduler runs the membership crate
-//! unchanged. One process is killed every [`KILL_INTERVAL`] and back after half of it.
+//! Apart from the CPU time, a run is a function of its [`MembershipScenario`]. Each scheduler runs the
+//! membership crate unchanged. A random process is killed every [`KILL_INTERVAL`] and restarted after half of
+//! that time.
 
 use crate::event_queue::{EventQueue, to_micros};
 use brackenledge_membership::{Command, Membership, Millis, ProcessId, SwimConfig};
@@ -12,70 +13,74 @@
 use std::ops::Range;
 use std::time::Instant;
 
-/// How long a message is on its way.
+/// Network latency of a message.
 const MESSAGE_LATENCY: Range<Millis> = 1.0..20.0;
-/// One process is killed this often.
+/// Interval between kills of one process, in milliseconds.
 pub const KILL_INTERVAL: Millis = 30_000.0;
-/// A killed process starts again after this time.
+/// A killed process is restarted after this time.
 const RESTART_DELAY: Millis = KILL_INTERVAL / 2.0;
-/// Nothing is counted before this time, while the cluster forms.
+/// Until this time the cluster forms; nothing is counted and no process is killed.
 const WARM_UP_TIME: Millis = 30_000.0;
-/// A process that is declared down by several others within this time counts as one false death.
-const FALSE_DEATH_WINDOW: Millis = 10_000.0;
+/// False reports on the same process count as one false positive if each follows the previous one within this
+/// time.
+const FALSE_POSITIVE_WINDOW: Millis = 10_000.0;
 const MILLIS_PER_MINUTE: Millis = 60_000.0;
 const MILLIS_PER_SECOND: Millis = 1_000.0;
 
-/// One run.
+/// The input of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct MembershipScenario {
-    /// Schedulers, from 2 on.
+    /// Number of schedulers, at least 2.
     pub scheduler_count: usize,
-    /// Part of the messages that is lost.
+    /// Fraction of the messages that are lost.
     pub loss: f64,
-    /// Length on the virtual clock, after the time in which the cluster forms.
+    /// Length on the virtual clock in minutes, not counting the time in which the cluster forms.
     pub minutes: f64,
-    /// For all that is random.
+    /// Seed of the random numbers for latencies, losses and kills.
     pub seed: u64,
 }
 
-/// What a run shows.
+/// What was measured in a run, without the time in which the cluster forms.
 #[derive(Clone, Debug, Default)]
 pub struct MembershipResult {
-    /// Times from a crash until the first other process noticed it.
+    /// Times until the first other process detected a crash, one for each detected crash.
     pub first_detections: Vec<Millis>,
-    /// Times from a crash until each other process noticed it.
+    /// Times until another process detected a crash, one for each process that did.
     pub detections: Vec<Millis>,
-    /// Running processes that any other declared down, each counted once in 10 s.
-    pub false_deaths: usize,
-    /// Declarations of a running process as down, by each of the others.
-    pub false_death_views: usize,
-    /// Bytes of all messages sent.
+    /// Running processes that were falsely declared down. Reports on the same process count as one if each
+    /// follows the previous one within 10 s.
+    pub false_positives: usize,
+    /// Reports of a running process as down, counted for each process that made one.
+    pub false_positive_reports: usize,
+    /// Bytes of all messages sent, including those lost.
     pub bytes: u64,
-    /// Messages sent.
+    /// Messages sent, including those lost.
     pub messages: u64,
-    /// Processor time of one scheduler, as a part of one core.
+    /// CPU time of one scheduler, as a fraction of one core. Derived from the wall-clock time that the
+    /// single-threaded simulation took, including the time in which the cluster forms.
     pub cpu_per_scheduler: f64,
 }
 
 impl MembershipScenario {
     /// Runs the scenario.
     pub fn run(&self) -> MembershipResult {
-        let mut world = World::new(self);
-        (0..self.scheduler_count).for_each(|scheduler| world.start(scheduler));
-        world.schedule(WARM_UP_TIME, Event::Kill);
+        let mut simulation = Simulation::new(self);
+        (0..self.scheduler_count).for_each(|scheduler| simulation.start(scheduler));
+        simulation.schedule(WARM_UP_TIME, Event::Kill);
         let started_at = Instant::now();
         let end = WARM_UP_TIME + self.minutes * MILLIS_PER_MINUTE;
-        while let Some((at, event)) = world.events.pop_due(end) {
-            world.now = at;
-            world.handle_event(event);
+        while let Some((at, event)) = simulation.events.pop_due(end) {
+            simulation.now = at;
+            simulation.handle_event(event);
         }
         let cpu_per_second = started_at.elapsed().as_secs_f64() / (end / MILLIS_PER_SECOND);
-        world.result.cpu_per_scheduler = cpu_per_second / self.scheduler_count as f64;
-        world.result
+        simulation.result.cpu_per_scheduler = cpu_per_second / self.scheduler_count as f64;
+        simulation.result
     }
 }
 
-/// The value that this part of the values is not above; not a number if there are none.
+/// The quantile of the values at this fraction from 0 to 1, which is always one of them; NaN if there are
+/// none. Sorts the values.
 pub fn quantile(values: &mut [Millis], fraction: f64) -> Millis {
     values.sort_by(f64::total_cmp);
     let index = (fraction * values.len() as f64) as usize;
@@ -83,7 +88,8 @@
 }
 
 enum Event {
-    /// A scheduler's timer; only the newest that it set counts.
+    /// A scheduler's timer. It has no effect once the scheduler has set another, which then has a newer
+    /// generation.
     Timer {
         scheduler: usize,
         generation: u64,
@@ -98,30 +104,30 @@
     },
 }
 
-/// A process that was killed.
+/// A killed process.
 struct Crash {
     at: Millis,
-    /// Other processes that have noticed it.
+    /// Number of other processes that have detected the crash.
     detection_count: usize,
 }
 
-struct World {
+struct Simulation {
     now: Millis,
     rng: ChaCha8Rng,
     loss: f64,
     events: EventQueue<Event>,
-    /// The running process of each scheduler.
+    /// The running process of each scheduler; `None` while it is killed.
     members: Vec<Option<Membership>>,
     timer_generations: Vec<u64>,
     crashes: BTreeMap<ProcessId, Crash>,
     /// When a running process was last declared down.
-    false_deaths: BTreeMap<ProcessId, Millis>,
+    last_false_reports: BTreeMap<ProcessId, Millis>,
     result: MembershipResult,
 }
 
-impl World {
-    fn new(scenario: &MembershipScenario) -> World {
-        World {
+impl Simulation {
+    fn new(scenario: &MembershipScenario) -> Simulation {
+        Simulation {
             now: 0.0,
             rng: ChaCha8Rng::seed_from_u64(scenario.seed),
             loss: scenario.loss,
@@ -129,24 +135,25 @@
             members: (0..scenario.scheduler_count).map(|_| None).collect(),
             timer_generations: vec![0; scenario.scheduler_count],
             crashes: BTreeMap::new(),
-            false_deaths: BTreeMap::new(),
+            last_false_reports: BTreeMap::new(),
             result: MembershipResult::default(),
         }
     }
 
-    /// One microsecond late: a timer that came a rounding error early would be set again for ever.
+    /// Schedules an event one microsecond late. A timer that fired early by a rounding error would be set for
+    /// the same time again, without end.
     fn schedule(&mut self, at: Millis, event: Event) {
         self.events.schedule(to_micros(at) + 1, event);
     }
 
     fn start(&mut self, scheduler: usize) {
         let scheduler_count = self.members.len();
-        let seeds =
+        let seed_nodes =
             (0..scheduler_count).filter(|&other| other != scheduler).map(|other| other as u16).collect();
         let me = ProcessId { ordinal: scheduler as u16, incarnation: 1 + self.now as u64 };
         let config = SwimConfig::for_cluster_size(scheduler_count);
         let rng_seed = self.events.scheduled_count();
-        self.members[scheduler] = Some(Membership::new(self.now, me, seeds, &config, rng_seed));
+        self.members[scheduler] = Some(Membership::new(self.now, me, seed_nodes, &config, rng_seed));
         self.set_timer(scheduler);
     }
 
@@ -176,14 +183,14 @@
                 }
             }
             Event::Kill => {
-                self.kill_any();
+                self.kill_random_process();
                 self.schedule(self.now + KILL_INTERVAL, Event::Kill);
             }
             Event::Restart { scheduler } => self.start(scheduler),
         }
     }
 
-    fn kill_any(&mut self) {
+    fn kill_random_process(&mut self) {
         let scheduler = self.rng.random_range(0..self.members.len());
         if let Some(member) = self.members[scheduler].take() {
             self.crashes.insert(member.me(), Crash { at: self.now, detection_count: 0 });
@@ -192,24 +199,24 @@
     }
 
     fn execute_commands(&mut self, scheduler: usize) {
-        let is_counted = self.now >= WARM_UP_TIME;
+        let has_formed = self.now >= WARM_UP_TIME;
         while let Some(command) = self.members[scheduler].as_mut().and_then(Membership::poll_command) {
             match command {
                 Command::Send { to, bytes } => {
-                    if is_counted {
+                    if has_formed {
                         self.result.bytes += bytes.len() as u64;
                         self.result.messages += 1;
                     }
                     self.send(usize::from(to), bytes);
                 }
-                Command::MemberDown(process) if is_counted => self.count_down(process),
+                Command::MemberDown(process) if has_formed => self.record_down(process),
                 _ => {}
             }
         }
         self.set_timer(scheduler);
     }
 
-    /// Sends a message, or loses it.
+    /// Sends a message, unless the loss probability drops it.
     fn send(&mut self, to: usize, bytes: Vec<u8>) {
         let is_lost = self.rng.random::<f64>() < self.loss;
         let latency = self.rng.random_range(MESSAGE_LATENCY);
@@ -218,8 +225,8 @@
         }
     }
 
-    /// Counts a declaration of a process as down: the detection of a crash, or a false death.
-    fn count_down(&mut self, process: ProcessId) {
+    /// Counts a report of a process as down, either as the detection of a crash or as a false positive.
+    fn record_down(&mut self, process: ProcessId) {
         let running = self.members[usize::from(process.ordinal)].as_ref();
         if let Some(crash) = self.crashes.get_mut(&process) {
             let delay = self.now - crash.at;
@@ -229,10 +236,10 @@
             }
             self.result.detections.push(delay);
         } else if running.is_some_and(|member| member.me() == process) {
-            self.result.false_death_views += 1;
-            let last = self.false_deaths.insert(process, self.now);
-            let is_new = last.is_none_or(|at| at < self.now - FALSE_DEATH_WINDOW);
-            self.result.false_deaths += usize::from(is_new);
+            self.result.false_positive_reports += 1;
+            let last = self.last_false_reports.insert(process, self.now);
+            let is_new = last.is_none_or(|at| at < self.now - FALSE_POSITIVE_WINDOW);
+            self.result.false_positives += usize::from(is_new);
         }
     }
 }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -1,4 +1,4 @@
-//! `brackenledge-simulator scenario`: plays scenarios of the test cluster, from files and drawn from seeds.
+//! `brackenledge-simulator scenario`: runs scenarios on the test cluster, from files or generated from seeds.
 
 use brackenledge_test_cluster::checker::{Report, Verdict};
 use brackenledge_test_cluster::cluster::SLOW_ITERATION;
@@ -12,122 +12,125 @@
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
 
-/// Names of the figures on replicated jobs.
-const FAILOVER_FIGURES: &str = "handover.";
+/// Prefix of the names of the admin endpoint's figures on replicated jobs.
+const FAILOVER_FIGURE_PREFIX: &str = "handover.";
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// The scenarios' files.
+    /// The scenarios' TOML files.
     #[arg(required_unless_present = "random")]
     files: Vec<PathBuf>,
-    /// The scheduler's program; by default the one beside this program.
+    /// The scheduler's executable. The default is `brackenledge` next to this program.
     #[arg(long, value_name = "FILE")]
     program: Option<PathBuf>,
-    /// Where each run leaves its page NAME.html, its history NAME.jsonl, its report NAME.json and the processes' NAME.log.
+    /// Folder to which each run writes its page NAME.html, its history NAME.jsonl, its report NAME.json and
+    /// the log of its processes NAME.log.
     #[arg(long, value_name = "FOLDER")]
     out: Option<PathBuf>,
-    /// In place of the files' seeds.
+    /// Overrides the seed of each scenario.
     #[arg(long)]
     seed: Option<u64>,
-    /// How often each scenario is played.
+    /// Number of times that each scenario is run.
     #[arg(long, default_value_t = 1)]
     repeat: usize,
-    /// Plays this many scenarios drawn from seeds, and keeps the file of each that fails.
+    /// Runs this many scenarios that are generated from seeds, and saves the file of each that fails.
     #[arg(long, alias = "soak", value_name = "NUMBER")]
     random: Option<u64>,
     /// The first seed of --random.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// Scenarios drawn from seeds have replicated jobs, and eight faults each.
+    /// Generates scenarios with job replication and eight faults each.
     #[arg(long, alias = "covered")]
     failover: bool,
-    /// Rows of a table only.
+    /// Prints only a table with a row for each run.
     #[arg(long)]
     table: bool,
 }
 
-/// Why scenarios can't be played.
+/// Why scenarios could not be run.
 #[derive(Debug, thiserror::Error)]
-pub enum PlayError {
-    /// The scheduler's program was not found.
-    #[error("no `brackenledge` beside this program: build it, or give --program FILE")]
-    NoProgram,
-    /// The path of this program is not known.
-    #[error("the path of this program: {0}")]
+pub enum ScenarioError {
+    /// The scheduler's executable was not found.
+    #[error("no `brackenledge` executable next to this program: build it, or give --program FILE")]
+    ProgramNotFound,
+    /// The path of this program could not be determined.
+    #[error("cannot determine the path of this program: {0}")]
     OwnPath(io::Error),
-    /// A signal can't be caught.
-    #[error("catching signals: {0}")]
-    Signals(io::Error),
-    /// A scenario's file is wrong or can't be read.
+    /// The handler of a signal could not be registered.
+    #[error("cannot register a signal handler: {0}")]
+    SignalHandler(io::Error),
+    /// A scenario file is invalid or could not be read.
     #[error(transparent)]
     Read(Error),
-    /// A scenario could not be played.
+    /// A scenario could not be run.
     #[error("{scenario}: {source}")]
     Run {
-        /// Its name.
+        /// The name of the scenario.
         scenario: String,
-        /// Why not.
+        /// The error of the test cluster.
         source: Error,
     },
-    /// A result can't be written.
+    /// A file or folder of results could not be written.
     #[error("{}: {source}", .path.display())]
     Write {
-        /// The file.
+        /// The file or folder.
         path: PathBuf,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
-/// A scenario, with its text where it was drawn from a seed.
-struct Selected {
+/// A scenario to run.
+struct SelectedScenario {
     scenario: Scenario,
-    drawn_text: Option<String>,
+    /// The text of its file if it was generated from a seed.
+    generated_text: Option<String>,
 }
 
-/// Plays what the options select; whether all passed.
-pub fn play(options: &Options) -> Result<bool, PlayError> {
-    let run_options = cluster::Options { program: program(options)?, stop: Some(stop_on_signals()?) };
+/// Runs the scenarios that the options select. Returns whether all runs passed.
+pub fn run_scenarios(options: &Options) -> Result<bool, ScenarioError> {
+    let run_options =
+        cluster::Options { program: scheduler_program(options)?, stop: Some(stop_on_signals()?) };
     let selected = select(options)?;
     if options.table {
         println!("{}", report::TABLE_HEAD);
     }
-    let (mut passed, mut played) = (0, 0);
-    for Selected { scenario, drawn_text } in &selected {
+    let (mut passed, mut runs) = (0, 0);
+    for SelectedScenario { scenario, generated_text } in &selected {
         for _ in 0..options.repeat {
-            let has_passed = play_one(scenario, options, &run_options)?;
-            played += 1;
+            let has_passed = run_once(scenario, options, &run_options)?;
+            runs += 1;
             passed += usize::from(has_passed);
-            if let (false, Some(text)) = (has_passed, drawn_text) {
+            if let (false, Some(text)) = (has_passed, generated_text) {
                 let path = PathBuf::from(format!("{}.toml", scenario.name));
                 write(&path, text)?;
-                eprintln!("kept {}", path.display());
+                eprintln!("{} failed; its scenario file is saved as {}", scenario.name, path.display());
             }
         }
     }
-    println!("{played} runs: {passed} passed, {} failed", played - passed);
-    Ok(passed == played)
+    println!("{runs} runs: {passed} passed, {} failed", runs - passed);
+    Ok(passed == runs)
 }
 
-fn program(options: &Options) -> Result<PathBuf, PlayError> {
-    let own = std::env::current_exe().map_err(PlayError::OwnPath)?;
-    options.program.clone().or_else(|| program_beside(&own)).ok_or(PlayError::NoProgram)
+fn scheduler_program(options: &Options) -> Result<PathBuf, ScenarioError> {
+    let own_path = std::env::current_exe().map_err(ScenarioError::OwnPath)?;
+    options.program.clone().or_else(|| program_beside(&own_path)).ok_or(ScenarioError::ProgramNotFound)
 }
 
-/// A flag that SIGINT and SIGTERM set.
-fn stop_on_signals() -> Result<Arc<AtomicBool>, PlayError> {
+/// Returns a flag that is set by SIGINT and SIGTERM.
+fn stop_on_signals() -> Result<Arc<AtomicBool>, ScenarioError> {
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [SIGINT, SIGTERM] {
-        signal_hook::flag::register(signal, Arc::clone(&stop)).map_err(PlayError::Signals)?;
+        signal_hook::flag::register(signal, Arc::clone(&stop)).map_err(ScenarioError::SignalHandler)?;
     }
     Ok(stop)
 }
 
-fn select(options: &Options) -> Result<Vec<Selected>, PlayError> {
+fn select(options: &Options) -> Result<Vec<SelectedScenario>, ScenarioError> {
     let mut selected = Vec::new();
     for file in &options.files {
-        let scenario = Scenario::load(file).map_err(PlayError::Read)?;
-        selected.push(Selected { scenario, drawn_text: None });
+        let scenario = Scenario::load(file).map_err(ScenarioError::Read)?;
+        selected.push(SelectedScenario { scenario, generated_text: None });
     }
     for seed in (options.from..).take(options.random.unwrap_or(0) as usize) {
         let text = match options.failover {
@@ -136,8 +139,8 @@
         };
         let path = format!("random-{seed}.toml");
         let scenario =
-            Scenario::parse(Path::new(&path), &text).map_err(|error| PlayError::Read(error.into()))?;
-        selected.push(Selected { scenario, drawn_text: Some(text) });
+            Scenario::parse(Path::new(&path), &text).map_err(|error| ScenarioError::Read(error.into()))?;
+        selected.push(SelectedScenario { scenario, generated_text: Some(text) });
     }
     for one in &mut selected {
         one.scenario.seed = options.seed.unwrap_or(one.scenario.seed);
@@ -145,14 +148,14 @@
     Ok(selected)
 }
 
-/// Plays a scenario once; whether it passed.
-fn play_one(
+/// Runs a scenario once, prints its result and writes its files. Returns whether it passed.
+fn run_once(
     scenario: &Scenario,
     options: &Options,
     run_options: &cluster::Options,
-) -> Result<bool, PlayError> {
-    let in_scenario = |source| PlayError::Run { scenario: scenario.name.clone(), source };
-    let outcome = run(scenario, run_options).map_err(in_scenario)?;
+) -> Result<bool, ScenarioError> {
+    let run_error = |source| ScenarioError::Run { scenario: scenario.name.clone(), source };
+    let outcome = run(scenario, run_options).map_err(run_error)?;
     let report = check(&outcome.history, scenario);
     let mut verdict = report.verdict(scenario);
     verdict.failures.extend(outcome.crashed.iter().cloned());
@@ -162,9 +165,9 @@
         print_summary(scenario, &outcome, &report, &verdict);
     }
     if let Some(folder) = &options.out {
-        let files = files(scenario, &outcome, &report, &verdict).map_err(in_scenario)?;
+        let files = result_files(scenario, &outcome, &report, &verdict).map_err(run_error)?;
         std::fs::create_dir_all(folder)
-            .map_err(|source| PlayError::Write { path: folder.clone(), source })?;
+            .map_err(|source| ScenarioError::Write { path: folder.clone(), source })?;
         for (extension, text) in files {
             write(&folder.join(format!("{}.{extension}", scenario.name)), &text)?;
         }
@@ -182,22 +185,25 @@
 
 fn print_summary(scenario: &Scenario, outcome: &Outcome, report: &Report, verdict: &Verdict) {
     print!("{}", report::summary(scenario, report, verdict));
-    let figures = report::sum_figures(&outcome.info_replies, FAILOVER_FIGURES);
+    let figures = report::sum_figures(&outcome.info_replies, FAILOVER_FIGURE_PREFIX);
     let figures: Vec<String> = figures.iter().map(|(name, figure)| format!("{name} {figure}")).collect();
     if !figures.is_empty() {
         println!("{}", figures.join(", "));
     }
     let jobs = Report::sum(&report.jobs).max(1) as f64;
     println!(
-        "processor time {:.3} ms a job, {:.0} bytes a job on links between schedulers",
+        "CPU time {:.3} ms per job, {:.0} bytes per job on links between schedulers",
         outcome.cpu_ms / jobs,
         outcome.link_bytes as f64 / jobs
     );
-    println!("{} turns of the test cluster took over {SLOW_ITERATION} ms", outcome.slow_iterations);
+    println!(
+        "{} event loop iterations of the test cluster took over {SLOW_ITERATION} ms",
+        outcome.slow_iterations
+    );
 }
 
-/// The files that a run leaves, by extension.
-fn files(
+/// The extensions and texts of the files that a run writes.
+fn result_files(
     scenario: &Scenario,
     outcome: &Outcome,
     report: &Report,
@@ -211,6 +217,6 @@
     ])
 }
 
-fn write(path: &Path, text: &str) -> Result<(), PlayError> {
-    std::fs::write(path, text).map_err(|source| PlayError::Write { path: path.to_owned(), source })
+fn write(path: &Path, text: &str) -> Result<(), ScenarioError> {
+    std::fs::write(path, text).map_err(|source| ScenarioError::Write { path: path.to_owned(), source })
 }
--- a/crates/simulator/src/zone_sweep.rs
+++ b/crates/simulator/src/zone_sweep.rs
@@ -1,4 +1,4 @@
-//! `brackenledge-simulator zones`: strategies to route work to other zones, swept over the load.
+//! `brackenledge-simulator zones`: compares strategies for routing work to other zones over a range of loads.
 
 use crate::zone_plot::{Curve, Point, draw};
 use brackenledge_simulator::SimulatorError;
@@ -7,18 +7,19 @@
 
 #[derive(clap::Args)]
 pub struct Options {
-    /// Loads in percent of what all zones can do, a row each.
+    /// Loads in percent of the total capacity. Each is run under every strategy.
     #[arg(long, value_delimiter = ',', default_value = "50,60,70,80,90,100,110")]
     load: Vec<u32>,
-    /// An SVG of what was served, by load.
+    /// SVG file to which a plot of the work served over the load is written.
     #[arg(long)]
     plot: Option<PathBuf>,
 }
 
-const HEADING: &str = "| load | strategy | served | crossed | worst zone | untouched zones | cascades | severe overloads | plans |\n\
+const HEADING: &str = "| load | strategy | served | served elsewhere | worst zone | worst unaffected zone \
+                       | cascades | severe overloads | plans |\n\
                        | --- | --- | --- | --- | --- | --- | --- | --- | --- |";
 
-/// Runs each load under each strategy and prints a table.
+/// Runs each load under each strategy and prints a table. Draws the plot if one is asked for.
 pub fn run(options: &Options) -> Result<(), SimulatorError> {
     println!("{HEADING}");
     let mut curves = Strategy::ALL.map(|strategy| Curve { name: strategy.name(), points: Vec::new() });
@@ -41,9 +42,9 @@
         "| {load_percent}% | {} | {:.3} | {:.3} | {:.3} | {:.3} | {} | {} | {} |",
         strategy.name(),
         result.served,
-        result.crossed,
-        result.worst_zone,
-        result.untouched_zones,
+        result.served_elsewhere,
+        result.worst_zone_served,
+        result.worst_unaffected_zone_served,
         result.cascades,
         result.severe_overloads,
         result.plans
--- a/crates/simulator/src/zones.rs
+++ b/crates/simulator/src/zones.rs
@@ -1,8 +1,10 @@
-//! Zones as fluid flows of work, to compare routing strategies at sizes that sockets don't reach: a zone and then a
-//! region lose their workers and get them back warming up.
+//! A fluid model of zones and the work that flows between them. It compares routing strategies at cluster
+//! sizes that are too large for tests with real sockets. In a run, a zone and then a region lose their
+//! workers, which come back and warm up.
 //!
-//! What it leaves out: single jobs and workers. A zone does what its slots can; work beyond that is queued, is lost once
-//! it has waited for its deadline, and a long queue makes the zone slower, as crowded workers are.
+//! Limits: single jobs and workers are not modelled. A zone serves as much work as it has slots for. Work
+//! beyond that is queued, and is lost when it has waited until its deadline. A long queue slows the zone
+//! down, as overloaded workers slow down.
 
 mod queues;
 mod strategies;
@@ -10,25 +12,26 @@
 use self::queues::Queues;
 use self::strategies::Router;
 
-/// How work is routed to other zones.
+/// A strategy for routing work to other zones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Strategy {
-    /// Each zone by itself: its excess goes to the zones that had capacity when it last looked.
+    /// Each zone decides by itself: work beyond its capacity goes to the zones that had spare capacity when
+    /// the zone last learned of their load.
     Uncoordinated,
-    /// All work of a lost zone goes to the next one that is up.
+    /// All work of a zone without workers goes to the next zone with workers, in a fixed order.
     FixedOrder,
-    /// The planner's plans, followed by each zone.
+    /// Each zone follows the planner's plans.
     Planned,
-    /// The planner's ideal shares of the true state, without delay.
+    /// The planner's ideal shares for the true load and capacity, without delay.
     Oracle,
 }
 
 impl Strategy {
-    /// All of them.
+    /// All strategies, in the order of the rows in tables.
     pub const ALL: [Strategy; 4] =
         [Strategy::Uncoordinated, Strategy::FixedOrder, Strategy::Planned, Strategy::Oracle];
 
-    /// Its name in tables.
+    /// The strategy's name in tables and plots.
     pub fn name(self) -> &'static str {
         match self {
             Strategy::Uncoordinated => "uncoordinated",
@@ -39,64 +42,66 @@
     }
 }
 
-/// A zone loses its workers. Times are in milliseconds of the run.
+/// The time in which a zone has no workers. Times are in milliseconds since the start of the run.
 #[derive(Clone, Copy, Debug)]
 pub struct ZoneOutage {
-    /// Which zone.
+    /// Index of the zone.
     pub zone: usize,
-    /// When its workers are lost.
+    /// When the zone loses its workers.
     pub from: u64,
-    /// When they are back, warming up.
+    /// When the workers are back and start to warm up.
     pub until: u64,
 }
 
-/// The fleet, and what happens to it.
+/// The input of a run: the cluster, its load and the outages.
 #[derive(Clone, Debug)]
 pub struct FlowScenario {
-    /// Schedulers, for the load reports; their number changes nothing else.
+    /// Number of schedulers. Affects only the contents of load reports.
     pub scheduler_count: u32,
-    /// Slots of all workers.
+    /// Number of slots of all workers.
     pub slots: f64,
-    /// Which region each zone is in.
+    /// The region of each zone.
     pub regions: Vec<usize>,
-    /// Work offered, as a part of what all zones can do.
+    /// Offered load, as a fraction of the capacity of all zones.
     pub load: f64,
-    /// Zones that lose their workers.
+    /// Outages of zones.
     pub outages: Vec<ZoneOutage>,
     /// Length of the run in milliseconds.
     pub length: u64,
 }
 
-/// What a run shows.
+/// What was measured in a run. Fractions are from 0 to 1.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct FlowResult {
-    /// Part of the work that was served.
+    /// Fraction of the work that was served.
     pub served: f64,
-    /// Part that was served in another zone.
-    pub crossed: f64,
-    /// The least part served of a zone's own work.
-    pub worst_zone: f64,
-    /// The least part served, over the zones that never lost their workers.
-    pub untouched_zones: f64,
-    /// Times that a zone that had its workers was overloaded for 3 s, while all together had the capacity.
+    /// Fraction of the work that was served in a zone other than its origin.
+    pub served_elsewhere: f64,
+    /// The lowest fraction served of the work of any one zone.
+    pub worst_zone_served: f64,
+    /// The same, over only the zones without an outage.
+    pub worst_unaffected_zone_served: f64,
+    /// Number of times that a zone at full capacity received more than 1.1 times its capacity for 3 s,
+    /// although the capacity of all zones together was sufficient.
     pub cascades: usize,
-    /// Times that a zone was sent over four times what it could do for 3 s.
+    /// Number of times that a zone received more than four times its current capacity for 3 s.
     pub severe_overloads: usize,
-    /// Plans made.
+    /// Number of plans made. Only with [`Strategy::Planned`].
     pub plans: usize,
 }
 
-/// Length of a step in milliseconds.
+/// Length of a simulation step in milliseconds.
 const STEP: u64 = 100;
-/// Delay until schedulers notice that a zone is lost, or back.
+/// Time in milliseconds until schedulers detect that the capacity of a zone has changed.
 const DETECTION_DELAY: u64 = 2_000;
-/// Workers that have just started have this part of their capacity, and all of it after the warm-up time in milliseconds.
+/// Workers that have just started have this fraction of their capacity. It rises linearly to the full
+/// capacity over the warm-up time, which is in milliseconds.
 const INITIAL_CAPACITY_FRACTION: f64 = 0.3;
 const WARM_UP_TIME: f64 = 8_600.0;
 
 impl FlowScenario {
-    /// Six zones in three regions, 300 schedulers and 1,000 workers of four slots: a zone is lost for half a minute, then
-    /// a region for a quarter of one.
+    /// Six zones in three regions, with 300 schedulers and 1,000 workers of four slots each. One zone has an
+    /// outage of 30 s, and later both zones of another region one of 15 s.
     pub fn six_zones(load: f64) -> FlowScenario {
         FlowScenario {
             scheduler_count: 300,
@@ -112,7 +117,7 @@
         }
     }
 
-    /// Runs it under one strategy.
+    /// Runs the scenario under one strategy.
     pub fn run(&self, strategy: Strategy) -> FlowResult {
         let demand: Vec<f64> = (0..self.zone_count()).map(|zone| self.demand(zone)).collect();
         let mut router = Router::new(self, strategy, demand.clone());
@@ -124,7 +129,8 @@
             let arrivals = queues.step(&shares, &capacity);
             router.on_step_end(arrivals);
         }
-        let mut result = queues.result(self.length, |zone| self.outages.iter().any(|o| o.zone == zone));
+        let mut result =
+            queues.result(self.length, |zone| self.outages.iter().any(|outage| outage.zone == zone));
         result.plans = router.plans_made();
         result
     }
@@ -133,7 +139,7 @@
         self.regions.len()
     }
 
-    /// Slots of one zone.
+    /// Number of slots of one zone.
     fn zone_slots(&self) -> f64 {
         self.slots / self.zone_count() as f64
     }
@@ -142,18 +148,18 @@
         (0..self.zone_count()).map(|zone| self.capacity(zone, now)).collect()
     }
 
-    /// What a zone can do at a time, in slots.
+    /// The capacity of a zone at a time, in slots.
     fn capacity(&self, zone: usize, now: u64) -> f64 {
         let outages = || self.outages.iter().filter(|outage| outage.zone == zone);
         if outages().any(|outage| (outage.from..outage.until).contains(&now)) {
             return 0.0;
         }
-        let restarted = outages().map(|outage| outage.until).filter(|&until| until <= now).max();
-        let warmth = restarted.map_or(1.0, |at| ((now - at) as f64 / WARM_UP_TIME).min(1.0));
-        self.zone_slots() * (INITIAL_CAPACITY_FRACTION + (1.0 - INITIAL_CAPACITY_FRACTION) * warmth)
+        let restarted_at = outages().map(|outage| outage.until).filter(|&until| until <= now).max();
+        let warm_up_progress = restarted_at.map_or(1.0, |at| ((now - at) as f64 / WARM_UP_TIME).min(1.0));
+        self.zone_slots() * (INITIAL_CAPACITY_FRACTION + (1.0 - INITIAL_CAPACITY_FRACTION) * warm_up_progress)
     }
 
-    /// What a zone's clients ask for, in slots: some zones have more clients.
+    /// The work that a zone's clients offer, in slots. Some zones have more clients than others.
     fn demand(&self, zone: usize) -> f64 {
         const SKEW: [f64; 6] = [1.15, 0.9, 1.05, 0.95, 1.1, 0.85];
         self.load * self.slots / self.zone_count() as f64 * SKEW[zone % SKEW.len()]
--- a/crates/simulator/src/zones/strategies.rs
+++ b/crates/simulator/src/zones/strategies.rs
@@ -1,4 +1,4 @@
-//! The shares of work that each strategy sends to each zone.
+//! How each strategy divides the work of each zone among all zones.
 
 use super::{FlowScenario, STEP, Strategy};
 use brackenledge_zone_routing::{
@@ -6,14 +6,15 @@
     ZoneLoadReport,
 };
 
-/// Age of what uncoordinated schedulers know of the loads of others, in milliseconds.
+/// Age of the loads of other zones that uncoordinated schedulers know, in milliseconds.
 const LOAD_STALENESS: u64 = 1_000;
-/// Between two load reports of a zone, and how long one is on its way, in milliseconds.
+/// Time between two load reports of a zone, in milliseconds.
 const REPORT_INTERVAL: u64 = 1_000;
+/// Time that a load report takes to reach the planner, in milliseconds.
 const REPORT_LATENCY: u64 = 300;
-/// Between two runs of the planner, in milliseconds.
+/// Time between two runs of the planner, in milliseconds.
 const PLAN_INTERVAL: u64 = 250;
-/// How long a plan that is not received again stays in effect, in milliseconds.
+/// Time for which a plan stays in effect unless it is received again, in milliseconds.
 const PLAN_TTL: u64 = 15_000;
 
 /// A load report on its way to the planner.
@@ -23,16 +24,19 @@
     report: ZoneLoadReport,
 }
 
-/// Routes all zones' work by one strategy.
+/// Routes the work of all zones by one strategy.
 pub(super) struct Router {
     strategy: Strategy,
+    /// Work that the clients of each zone offer, in slots.
     demand: Vec<f64>,
     schedulers_per_zone: u32,
     planner: Planner,
+    /// One for each zone.
     followers: Vec<PlanFollower>,
     in_flight: Vec<ReportInFlight>,
-    load: ClusterLoad,
-    /// Work that arrived at each zone, for each step so far.
+    /// The load that the planner knows from reports.
+    reported_load: ClusterLoad,
+    /// Work that arrived at each zone, in slots, for each step so far.
     arrivals: Vec<Vec<f64>>,
     plans_made: usize,
 }
@@ -48,13 +52,14 @@
             planner: Planner::new(0, settings, PlannerTerm::from([1; 5]), None),
             followers: (0..zone_count).map(|zone| PlanFollower::new(zone, PLAN_TTL)).collect(),
             in_flight: Vec::new(),
-            load: ClusterLoad::new(zone_count),
+            reported_load: ClusterLoad::new(zone_count),
             arrivals: Vec::new(),
             plans_made: 0,
         }
     }
 
-    /// Shares of work by origin and target. `capacity` is what zones can do, `detected` what schedulers know of it.
+    /// The shares of work by zone of origin and target zone. `capacity` is the true capacity of each zone and
+    /// `detected` the capacity that schedulers know of, both in slots.
     pub fn shares(&mut self, now: u64, capacity: &[f64], detected: &[f64]) -> ShareMatrix {
         match self.strategy {
             Strategy::Oracle => self.planner.ideal_shares(now, &self.true_load(now, capacity)),
@@ -64,16 +69,17 @@
         }
     }
 
-    /// Takes in the work that arrived at each zone in this step.
+    /// Records the work that arrived at each zone in this step, in slots.
     pub fn on_step_end(&mut self, arrivals: Vec<f64>) {
         self.arrivals.push(arrivals);
     }
 
-    /// Plans made so far.
+    /// The number of plans made so far.
     pub fn plans_made(&self) -> usize {
         self.plans_made
     }
 
+    /// The current load, without the delays of reports.
     fn true_load(&self, now: u64, capacity: &[f64]) -> ClusterLoad {
         let mut load = ClusterLoad::new(self.demand.len());
         for (zone, &demand) in self.demand.iter().enumerate() {
@@ -87,17 +93,17 @@
             self.send_reports(now, detected);
         }
         for arrived in self.in_flight.extract_if(.., |report| report.arrives_at <= now) {
-            self.load.handle_report(now, arrived.zone, arrived.report);
+            self.reported_load.handle_report(now, arrived.zone, arrived.report);
         }
         if now > REPORT_INTERVAL + REPORT_LATENCY && now.is_multiple_of(PLAN_INTERVAL) {
             self.plan(now);
         }
         let zone_count = self.demand.len();
-        let follow = |(zone, follower): (usize, &mut PlanFollower)| match follower.routing_mode(now) {
+        let planned_row = |(zone, follower): (usize, &mut PlanFollower)| match follower.routing_mode(now) {
             RoutingMode::Planned(shares) => shares,
-            RoutingMode::LocalFallback { .. } => all_to(Some(zone), zone_count),
+            RoutingMode::LocalFallback { .. } => single_target_row(Some(zone), zone_count),
         };
-        self.followers.iter_mut().enumerate().map(follow).collect()
+        self.followers.iter_mut().enumerate().map(planned_row).collect()
     }
 
     fn send_reports(&mut self, now: u64, detected: &[f64]) {
@@ -108,22 +114,22 @@
     }
 
     fn plan(&mut self, now: u64) {
-        self.plans_made += usize::from(self.planner.replan(now, &self.load).is_some());
+        self.plans_made += usize::from(self.planner.replan(now, &self.reported_load).is_some());
         let Some(plan) = self.planner.plan() else { return };
         for follower in &mut self.followers {
-            // One planner makes all plans, so that none is stale.
+            // Ignores the error for stale plans: all plans come from one planner, so none is stale.
             let _ = follower.handle_plan(now, plan.clone());
         }
     }
 
     fn uncoordinated_shares(&self, detected: &[f64]) -> ShareMatrix {
         let staleness_steps = (LOAD_STALENESS / STEP) as usize;
-        let before = self.arrivals.len().checked_sub(staleness_steps).map(|step| &self.arrivals[step]);
-        let before = before.unwrap_or(&self.demand);
-        let free: Vec<f64> =
-            detected.iter().zip(before).map(|(capacity, before)| (capacity - before).max(0.0)).collect();
+        let known_load = self.arrivals.len().checked_sub(staleness_steps).map(|step| &self.arrivals[step]);
+        let known_load = known_load.unwrap_or(&self.demand);
+        let spare: Vec<f64> =
+            detected.iter().zip(known_load).map(|(capacity, load)| (capacity - load).max(0.0)).collect();
         (self.demand.iter().enumerate())
-            .map(|(zone, &demand)| uncoordinated_row(zone, demand, detected, &free))
+            .map(|(zone, &demand)| uncoordinated_row(zone, demand, detected, &spare))
             .collect()
     }
 
@@ -142,32 +148,36 @@
     }
 }
 
-fn all_to(target: Option<usize>, zone_count: usize) -> Vec<f64> {
+/// A row of shares that sends all work to one zone, or no work anywhere if there is no target.
+fn single_target_row(target: Option<usize>, zone_count: usize) -> Vec<f64> {
     (0..zone_count).map(|zone| f64::from(u8::from(Some(zone) == target))).collect()
 }
 
+/// Each zone sends all work to the first zone that is up, in the order of indices, starting with itself and
+/// wrapping around.
 fn fixed_order_shares(detected: &[f64]) -> ShareMatrix {
     let zone_count = detected.len();
     let first_up = |zone: usize| {
         (0..zone_count).map(|step| (zone + step) % zone_count).find(|&target| detected[target] > 0.0)
     };
-    (0..zone_count).map(|zone| all_to(first_up(zone), zone_count)).collect()
+    (0..zone_count).map(|zone| single_target_row(first_up(zone), zone_count)).collect()
 }
 
-/// What a zone does by itself: local as far as it can, the rest by the free capacity that others had.
-fn uncoordinated_row(zone: usize, demand: f64, detected: &[f64], free: &[f64]) -> Vec<f64> {
+/// The shares of one zone that decides by itself. It keeps as much work as it has capacity for, and divides
+/// the remainder among the other zones in proportion to the spare capacity that it knows of.
+fn uncoordinated_row(zone: usize, demand: f64, detected: &[f64], spare: &[f64]) -> Vec<f64> {
     let local = (detected[zone] / demand).min(1.0);
-    let free_elsewhere: f64 =
-        free.iter().enumerate().filter(|(target, _)| *target != zone).map(|(_, free)| free).sum();
+    let spare_elsewhere: f64 =
+        spare.iter().enumerate().filter(|(target, _)| *target != zone).map(|(_, spare)| spare).sum();
     let others_up =
         detected.iter().enumerate().filter(|&(target, capacity)| target != zone && *capacity > 0.0).count();
     let share = |target: usize| {
         if target == zone {
             local
-        } else if free_elsewhere > 0.0 {
-            (1.0 - local) * free[target] / free_elsewhere
+        } else if spare_elsewhere > 0.0 {
+            (1.0 - local) * spare[target] / spare_elsewhere
         } else if detected[target] > 0.0 {
-            // No zone had free capacity: any will do.
+            // No other zone has spare capacity: the work is divided equally among those that are up.
             (1.0 - local) / others_up as f64
         } else {
             0.0
--- a/crates/simulator/tests/membership.rs
+++ b/crates/simulator/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership on a virtual clock: what a run counts.
+//! The results of membership simulations.
 #![allow(missing_docs)]
 
 use brackenledge_simulator::membership::{MembershipScenario, quantile};
@@ -7,20 +7,26 @@
     MembershipScenario { scheduler_count: 8, loss: 0.0, minutes: 3.0, seed: 1 };
 
 #[test]
-fn every_crash_is_noticed_by_each_other_process_and_none_is_declared_down_falsely() {
+fn without_loss_all_others_detect_each_crash_and_there_are_no_false_positives() {
     let result = SCENARIO.run();
-    // Six kills in three minutes; the last ones may not be noticed yet.
+    // There are six kills in three minutes. The last one may not be detected before the end of the run.
     assert!((5..=6).contains(&result.first_detections.len()), "{result:?}");
     assert!(result.detections.len() >= 5 * 7, "{result:?}");
-    assert_eq!((result.false_deaths, result.false_death_views), (0, 0));
+    assert_eq!((result.false_positives, result.false_positive_reports), (0, 0));
     assert!(result.messages > 0 && result.bytes > result.messages);
 }
 
 #[test]
-fn equal_scenarios_give_equal_runs_and_other_seeds_others() {
+fn equal_scenarios_give_equal_results_and_different_seeds_different_ones() {
     let counted = |seed| {
         let result = MembershipScenario { seed, loss: 0.3, ..SCENARIO }.run();
-        (result.first_detections, result.detections, result.false_death_views, result.bytes, result.messages)
+        (
+            result.first_detections,
+            result.detections,
+            result.false_positive_reports,
+            result.bytes,
+            result.messages,
+        )
     };
     assert_eq!(counted(1), counted(1));
     assert_ne!(counted(1), counted(2));
