--- a/crates/simulator/src/baselines.rs
+++ b/crates/simulator/src/baselines.rs
@@ -1,35 +1,38 @@
-//! Baseline policies to compare with: each sends a job at once, retries after an error, and fails it at its deadline.
+//! Baseline load-balancing policies that the production policy is compared with. Each of them starts an
+//! attempt as soon as a job arrives, retries after an error, and fails the job at its deadline.
 
 use brackenledge_policy::{Action, AttemptResult, Event, JobId, Millis, Outcome, WorkerId};
 use fastrand::Rng;
 use serde::Deserialize;
 use std::collections::BTreeMap;
 
-/// Attempts that a job gets.
+/// Maximum number of attempts for one job.
 const MAX_ATTEMPTS: usize = 4;
-/// Timers may be rounded by as much.
+/// Tolerance for timers that expire early because times are rounded.
 const TIMER_RESOLUTION: Millis = 0.01;
-/// Schedulers that go round the workers start at different ones.
-const MAX_FIRST_TURN: usize = 1_000;
+/// Each scheduler starts round-robin at a random position below this limit, so that the schedulers do not all
+/// select the same worker first.
+const ROUND_ROBIN_START_LIMIT: usize = 1_000;
 
-/// How a worker is selected.
+/// How a baseline policy selects a worker.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Baseline {
-    /// Any.
+    /// A uniformly random worker.
     Random,
-    /// The next.
+    /// All workers in turn.
     RoundRobin,
-    /// The one with the fewest of the scheduler's own jobs.
+    /// The worker with the fewest attempts of this scheduler in flight.
     LeastOutstanding,
-    /// Of two at random the one with fewer of the scheduler's own jobs.
+    /// Of two random workers, the one with fewer attempts of this scheduler in flight.
     TwoChoices,
-    /// The one with the fewest jobs of all schedulers, by its true state, which no real scheduler knows.
+    /// The worker with the fewest attempts of all schedulers, running or queued. A real scheduler does not
+    /// know this number.
     Oracle,
 }
 
 impl Baseline {
-    /// Its name in files and tables.
+    /// The name in experiment files and in the output.
     pub fn name(self) -> &'static str {
         match self {
             Baseline::Random => "random",
@@ -41,40 +44,41 @@
     }
 }
 
-/// A job without an answer.
+/// A job that has no final answer yet.
 struct PendingJob {
     deadline: Millis,
+    /// Attempts started so far.
     attempts: usize,
 }
 
-/// A scheduler under a baseline.
+/// A scheduler that runs a baseline policy.
 pub(crate) struct BaselineScheduler {
     baseline: Baseline,
     rng: Rng,
-    /// This scheduler's attempts in flight at each worker.
+    /// This scheduler's attempts in flight, by worker.
     in_flight: Vec<usize>,
-    /// Attempts so far, from a random number on: the turn of round-robin.
-    turn: usize,
+    /// Advances by one with each attempt, from a random start. Round-robin derives the worker from it.
+    round_robin_position: usize,
     pending_jobs: BTreeMap<JobId, PendingJob>,
-    /// The workers of the attempts in flight, by job and number.
+    /// The worker of each attempt in flight, by job and attempt number.
     attempt_workers: BTreeMap<(JobId, usize), WorkerId>,
 }
 
 impl BaselineScheduler {
     pub(crate) fn new(baseline: Baseline, seed: u64) -> Self {
         let mut rng = Rng::with_seed(seed);
-        let turn = rng.usize(..MAX_FIRST_TURN);
+        let round_robin_position = rng.usize(..ROUND_ROBIN_START_LIMIT);
         BaselineScheduler {
             baseline,
             rng,
             in_flight: Vec::new(),
-            turn,
+            round_robin_position,
             pending_jobs: BTreeMap::new(),
             attempt_workers: BTreeMap::new(),
         }
     }
 
-    /// Handles an event. `worker_loads`: the attempts at each worker, of all schedulers.
+    /// Handles an event. `worker_loads` is the number of attempts at each worker, of all schedulers.
     pub(crate) fn handle(
         &mut self,
         now: Millis,
@@ -91,10 +95,10 @@
                 let pending = PendingJob { deadline: now + job.time_left, attempts: 0 };
                 self.pending_jobs.insert(job.id, pending);
                 actions.push(Action::SetTimer { after: job.time_left });
-                self.send(job.id, worker_loads, actions);
+                self.start_attempt(job.id, worker_loads, actions);
             }
             Event::AttemptEnded(result) => self.handle_attempt_result(&result, worker_loads, actions),
-            Event::Timer => self.fail_overdue(now, actions),
+            Event::Timer => self.fail_overdue_jobs(now, actions),
             _ => {}
         }
     }
@@ -113,13 +117,13 @@
         if result.outcome == Outcome::Served {
             self.pending_jobs.remove(&job);
         } else if pending.attempts < MAX_ATTEMPTS {
-            self.send(job, worker_loads, actions);
+            self.start_attempt(job, worker_loads, actions);
         } else {
             self.fail(job, actions);
         }
     }
 
-    fn fail_overdue(&mut self, now: Millis, actions: &mut Vec<Action>) {
+    fn fail_overdue_jobs(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let is_overdue = |pending: &PendingJob| now + TIMER_RESOLUTION >= pending.deadline;
         let overdue = self.pending_jobs.iter().filter(|(_, pending)| is_overdue(pending));
         let overdue: Vec<JobId> = overdue.map(|(&job, _)| job).collect();
@@ -133,9 +137,9 @@
         actions.push(Action::Fail { job });
     }
 
-    fn send(&mut self, job: JobId, worker_loads: &[usize], actions: &mut Vec<Action>) {
+    fn start_attempt(&mut self, job: JobId, worker_loads: &[usize], actions: &mut Vec<Action>) {
         let worker = self.select_worker(worker_loads);
-        self.turn += 1;
+        self.round_robin_position += 1;
         if let Some(pending) = self.pending_jobs.get_mut(&job) {
             self.attempt_workers.insert((job, pending.attempts), worker);
             pending.attempts += 1;
@@ -148,7 +152,7 @@
         let count = self.in_flight.len();
         match self.baseline {
             Baseline::Random => self.rng.usize(..count),
-            Baseline::RoundRobin => self.turn % count,
+            Baseline::RoundRobin => self.round_robin_position % count,
             Baseline::LeastOutstanding => least_loaded(&self.in_flight, self.rng.usize(..count)),
             Baseline::TwoChoices => {
                 let (first, second) = (self.rng.usize(..count), self.rng.usize(..count));
@@ -159,8 +163,8 @@
     }
 }
 
-/// The worker with the least load; of equal ones the first from a given one on.
-fn least_loaded(loads: &[usize], from: WorkerId) -> WorkerId {
+/// The worker with the least load. A tie goes to the first such worker from `start` on, in cyclic order.
+fn least_loaded(loads: &[usize], start: WorkerId) -> WorkerId {
     let count = loads.len();
-    (0..count).map(|step| (from + step) % count).min_by_key(|&worker| loads[worker]).unwrap_or(0)
+    (0..count).map(|offset| (start + offset) % count).min_by_key(|&worker| loads[worker]).unwrap_or(0)
 }
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation in the order of their virtual times.
+//! The event queue of a discrete-event simulation, ordered by virtual time.
 
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
@@ -10,7 +10,7 @@
 
 struct ScheduledEvent<E> {
     at: Micros,
-    /// Orders events of the same time as they were scheduled; unique in a queue.
+    /// Number of the event in the order of scheduling. It is unique in a queue and breaks ties in time.
     sequence: u64,
     event: E,
 }
@@ -35,8 +35,8 @@
     }
 }
 
-/// A priority queue by time; events of the same time come out in the order in which they were scheduled, so that a run
-/// is a function of its seed.
+/// A priority queue by time. Events with the same time are returned in the order in which they were
+/// scheduled, so that equal seeds give equal runs.
 pub(crate) struct EventQueue<E> {
     heap: BinaryHeap<Reverse<ScheduledEvent<E>>>,
     scheduled_count: u64,
@@ -47,7 +47,7 @@
         EventQueue { heap: BinaryHeap::new(), scheduled_count: 0 }
     }
 
-    /// Events scheduled so far.
+    /// The number of events scheduled so far, those already returned included.
     pub fn scheduled_count(&self) -> u64 {
         self.scheduled_count
     }
@@ -57,7 +57,8 @@
         self.heap.push(Reverse(ScheduledEvent { at, sequence: self.scheduled_count, event }));
     }
 
-    /// The next event that is due by a time in milliseconds, with its own time in milliseconds.
+    /// Removes the next event if it is due by `until`, and returns it with its time. Both times are in
+    /// milliseconds.
     pub fn pop_due(&mut self, until: f64) -> Option<(f64, E)> {
         let Reverse(next) = self.heap.peek()?;
         if to_millis(next.at) > until {
@@ -68,7 +69,7 @@
     }
 }
 
-/// The first microsecond that is not before a time in milliseconds.
+/// Converts milliseconds to microseconds, rounding up.
 pub(crate) fn to_micros(millis: f64) -> Micros {
     (millis * MICROS_PER_MILLI).ceil() as Micros
 }
--- a/crates/simulator/src/experiment.rs
+++ b/crates/simulator/src/experiment.rs
@@ -1,7 +1,7 @@
-//! An experiment's file: the fleet, the traffic, the network, and the faults by time.
+//! Experiment files: the fleet, the traffic, the network, and the schedule of faults.
 //!
-//! A value of [`Experiment`] that was parsed is valid: all numbers are within their ranges, and no two faults of a kind
-//! overlap. Keys that were renamed are read under their old names as well.
+//! A parsed [`Experiment`] is valid: all numbers are within their ranges, and no two faults of the same kind
+//! overlap in time. Keys that were renamed are still accepted under their former names.
 
 mod validation;
 
@@ -11,15 +11,15 @@
 use std::ops::Range;
 use std::path::Path;
 
-/// How many schedulers and workers there are.
+/// The size of the fleet.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct FleetSize {
-    /// Schedulers, 1 to 1,000.
+    /// Number of schedulers, 1 to 1,000.
     pub schedulers: u32,
-    /// Workers, 1 to 10,000.
+    /// Number of workers, 1 to 10,000.
     pub workers: usize,
-    /// Jobs that a worker runs at a time, 1 to 64.
+    /// Number of jobs that a worker runs concurrently, 1 to 64; default 3.
     #[serde(default = "default_slots")]
     pub slots: usize,
 }
@@ -32,16 +32,17 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Traffic {
-    /// Part of all slots that the jobs need.
+    /// Offered load outside bursts, as a fraction of all slots; 0.01 to 10.
     pub load: f64,
-    /// Mean running time of a job, in milliseconds.
+    /// Mean running time of a job whose key's data is cached, in milliseconds; 1 to 10,000.
     pub run_ms: f64,
-    /// Additional running time of a job at a worker that has not cached its key's data, in mean running times.
+    /// Additional running time of a job at a worker that has not cached the data of the job's key, in units
+    /// of the mean running time; 0 to 100.
     #[serde(alias = "fetch")]
     pub fetch_cost: f64,
-    /// Affinity keys of the jobs, a few of them frequent.
+    /// Number of distinct affinity keys, 1 to 1,000,000. Few of them are frequent, most are rare.
     pub keys: u32,
-    /// How long jobs arrive, in seconds.
+    /// Length of the run in seconds, 1 to 3,600.
     pub seconds: u32,
 }
 
@@ -55,10 +56,10 @@
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Network {
-    /// How long a message is on its way, in milliseconds.
+    /// One-way latency of a message in milliseconds, 0 to 1,000.
     #[serde(alias = "one-way-ms")]
     pub latency_ms: f64,
-    /// Part of the messages that is lost.
+    /// Fraction of the messages that is lost, 0 to 1.
     pub loss: f64,
 }
 
@@ -68,56 +69,56 @@
     }
 }
 
-/// A fault, and when it acts. Times are in seconds from the start.
+/// A fault and its time window. Times are in seconds from the start of the run.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", tag = "kind")]
 pub enum Fault {
-    /// A part of the workers restarts and warms up.
+    /// A fraction of the workers restarts and has to warm up.
     #[serde(rename_all = "kebab-case")]
     RestartWorkers {
-        /// When.
+        /// Time of the restart.
         at: u32,
-        /// Of all workers.
+        /// Fraction of all workers, 0 to 1.
         #[serde(alias = "part")]
         fraction: f64,
     },
-    /// A part of the workers fails whatever it is sent.
+    /// A fraction of the workers fails all attempts.
     #[serde(rename_all = "kebab-case")]
     FailingWorkers {
-        /// From when.
+        /// Start of the fault.
         at: u32,
-        /// Until when.
+        /// End of the fault, exclusive.
         until: u32,
-        /// Of all workers.
+        /// Fraction of all workers, 0 to 1.
         #[serde(alias = "part")]
         fraction: f64,
     },
-    /// A part of the schedulers is killed, and started again at the end.
+    /// A fraction of the schedulers is killed, and restarted at the end of the window.
     #[serde(rename_all = "kebab-case")]
     KillSchedulers {
-        /// When.
+        /// Time of the kill.
         at: u32,
-        /// Until when.
+        /// Time of the restart.
         until: u32,
-        /// Of all schedulers.
+        /// Fraction of all schedulers, 0 to 1.
         #[serde(alias = "part")]
         fraction: f64,
     },
-    /// More jobs arrive, or fewer.
+    /// The arrival rate of jobs changes.
     #[serde(rename_all = "kebab-case")]
     Burst {
-        /// From when.
+        /// Start of the fault.
         at: u32,
-        /// Until when.
+        /// End of the fault, exclusive.
         until: u32,
-        /// The load as a multiple of the usual one.
+        /// Load during the fault, as a multiple of [`Traffic::load`]; 0 to 100.
         #[serde(alias = "times")]
         load_factor: f64,
     },
 }
 
 impl Fault {
-    /// The seconds in which it acts; a restart acts in one.
+    /// The seconds during which the fault is active. A restart of workers takes up one second.
     pub(crate) fn window(&self) -> Range<u32> {
         match *self {
             Fault::RestartWorkers { at, .. } => at..at.saturating_add(1),
@@ -128,11 +129,11 @@
     }
 }
 
-/// A file.
+/// An experiment, as read from its file.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Experiment {
-    /// How many schedulers and workers there are.
+    /// The size of the fleet.
     pub fleet: FleetSize,
     /// The jobs that clients send.
     #[serde(default)]
@@ -140,19 +141,19 @@
     /// The network between the schedulers.
     #[serde(default)]
     pub network: Network,
-    /// What goes wrong, and when.
+    /// The faults, in the order of the file.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Fault>,
-    /// Baseline policies that the same experiment is run under as well.
+    /// Baseline policies under which the experiment is run in addition to the production policy.
     #[serde(default, alias = "compare")]
     pub baselines: Vec<Baseline>,
-    /// For all that is random.
+    /// Seed of the random number generators.
     #[serde(default)]
     pub seed: u64,
 }
 
 impl Experiment {
-    /// Reads an experiment from its file.
+    /// Reads and parses an experiment file. Errors include the path.
     pub fn load(path: &Path) -> Result<Experiment, SimulatorError> {
         let text = std::fs::read_to_string(path)
             .map_err(|source| SimulatorError::ReadFile { path: path.to_owned(), source })?;
@@ -160,7 +161,8 @@
             .map_err(|source| SimulatorError::InvalidExperiment { path: path.to_owned(), source })
     }
 
-    /// Parses a file's text. An error names the place, the key and what would be right.
+    /// Parses the text of an experiment file. The error states line and column of a syntax error, and the key
+    /// and the valid range of an invalid value.
     pub fn parse(text: &str) -> Result<Experiment, ExperimentError> {
         let experiment: Experiment = toml::from_str(text)?;
         let invalid = validation::invalid_values(&experiment);
--- a/crates/simulator/src/experiment/validation.rs
+++ b/crates/simulator/src/experiment/validation.rs
@@ -1,13 +1,13 @@
-//! What is wrong with the values of an experiment.
+//! Validation of an experiment's values.
 
 use super::{Experiment, Fault};
 use crate::error::InvalidValue;
 use std::ops::RangeInclusive;
 
-/// The greatest load of a burst, as a multiple of the usual one.
+/// Maximum load during a burst, as a multiple of the experiment's load.
 const MAX_LOAD_FACTOR: f64 = 100.0;
 
-/// The key that says how large a fault is.
+/// How large a fault is: the key and value in its table, and the maximum that is valid.
 struct Magnitude {
     key: &'static str,
     value: f64,
@@ -15,7 +15,7 @@
 }
 
 impl Fault {
-    /// Its name in the file.
+    /// The value of the key `kind` in the file.
     fn kind(&self) -> &'static str {
         match self {
             Fault::RestartWorkers { .. } => "restart-workers",
@@ -39,12 +39,12 @@
     }
 
     fn overlaps(&self, other: &Fault) -> bool {
-        let (one, other) = (self.window(), other.window());
-        one.start < other.end && other.start < one.end
+        let (own, other) = (self.window(), other.window());
+        own.start < other.end && other.start < own.end
     }
 }
 
-/// All that is wrong with the values, in the order of the file's tables.
+/// All invalid values: numbers of the fleet, the traffic and the network, then of the faults, then overlaps.
 pub(super) fn invalid_values(experiment: &Experiment) -> Vec<InvalidValue> {
     let mut invalid = out_of_range_numbers(experiment);
     invalid.extend(out_of_range_faults(experiment));
@@ -52,7 +52,7 @@
     invalid
 }
 
-fn check(key: impl Into<String>, value: f64, range: RangeInclusive<f64>) -> Option<InvalidValue> {
+fn check_range(key: impl Into<String>, value: f64, range: RangeInclusive<f64>) -> Option<InvalidValue> {
     let (min, max) = (*range.start(), *range.end());
     (!range.contains(&value)).then(|| InvalidValue::OutOfRange { key: key.into(), value, min, max })
 }
@@ -60,16 +60,16 @@
 fn out_of_range_numbers(experiment: &Experiment) -> Vec<InvalidValue> {
     let Experiment { fleet, traffic, network, .. } = experiment;
     let checks = [
-        check("fleet.schedulers", f64::from(fleet.schedulers), 1.0..=1_000.0),
-        check("fleet.workers", fleet.workers as f64, 1.0..=10_000.0),
-        check("fleet.slots", fleet.slots as f64, 1.0..=64.0),
-        check("traffic.load", traffic.load, 0.01..=10.0),
-        check("traffic.run-ms", traffic.run_ms, 1.0..=10_000.0),
-        check("traffic.fetch-cost", traffic.fetch_cost, 0.0..=100.0),
-        check("traffic.keys", f64::from(traffic.keys), 1.0..=1e6),
-        check("traffic.seconds", f64::from(traffic.seconds), 1.0..=3_600.0),
-        check("network.latency-ms", network.latency_ms, 0.0..=1_000.0),
-        check("network.loss", network.loss, 0.0..=1.0),
+        check_range("fleet.schedulers", f64::from(fleet.schedulers), 1.0..=1_000.0),
+        check_range("fleet.workers", fleet.workers as f64, 1.0..=10_000.0),
+        check_range("fleet.slots", fleet.slots as f64, 1.0..=64.0),
+        check_range("traffic.load", traffic.load, 0.01..=10.0),
+        check_range("traffic.run-ms", traffic.run_ms, 1.0..=10_000.0),
+        check_range("traffic.fetch-cost", traffic.fetch_cost, 0.0..=100.0),
+        check_range("traffic.keys", f64::from(traffic.keys), 1.0..=1e6),
+        check_range("traffic.seconds", f64::from(traffic.seconds), 1.0..=3_600.0),
+        check_range("network.latency-ms", network.latency_ms, 0.0..=1_000.0),
+        check_range("network.loss", network.loss, 0.0..=1.0),
     ];
     checks.into_iter().flatten().collect()
 }
@@ -81,15 +81,15 @@
         let (window, magnitude) = (fault.window(), fault.magnitude());
         let name = format!("fault {} ({})", index + 1, fault.kind());
         let min_until = f64::from(window.start.saturating_add(1)).min(end);
-        invalid.extend(check(format!("{name}: at"), f64::from(window.start), 0.0..=end - 1.0));
-        invalid.extend(check(format!("{name}: until"), f64::from(window.end), min_until..=end));
+        invalid.extend(check_range(format!("{name}: at"), f64::from(window.start), 0.0..=end - 1.0));
+        invalid.extend(check_range(format!("{name}: until"), f64::from(window.end), min_until..=end));
         let key = format!("{name}: {}", magnitude.key);
-        invalid.extend(check(key, magnitude.value, 0.0..=magnitude.max));
+        invalid.extend(check_range(key, magnitude.value, 0.0..=magnitude.max));
     }
     invalid
 }
 
-/// A second fault of a kind would end the first, or be ended by it.
+/// Two faults of the same kind must not overlap, since the end of one would also end the other.
 fn overlapping_faults(faults: &[Fault]) -> Vec<InvalidValue> {
     let mut invalid = Vec::new();
     for (later, fault) in faults.iter().enumerate() {
--- a/crates/simulator/src/fleet.rs
+++ b/crates/simulator/src/fleet.rs
@@ -1,8 +1,9 @@
-//! Schedulers, workers that queue, and messages between the schedulers that are late or lost.
+//! A simulated fleet: schedulers, workers with queues, and messages between schedulers, which are delayed and
+//! may be lost.
 //!
-//! A run is a function of the settings, the [`FleetConfig`] and the calls made. All schedulers run the policy unchanged.
-//! Left out so far: discovery (a change of the endpoint list reaches all at once), connections, cancellation, and clients
-//! that retry.
+//! Equal settings, [`FleetConfig`]s and sequences of calls give equal runs. All schedulers run the production
+//! policy, unless a baseline is set. Not simulated yet: discovery (a change of the endpoint list reaches all
+//! schedulers at once), connections, cancellation, and clients that retry.
 
 mod checker;
 mod event_loop;
@@ -28,7 +29,7 @@
 use brackenledge_policy::{Event, JobId, ListKind, Millis, Settings, WorkerEntry, WorkerId};
 use std::collections::BTreeMap;
 
-/// The virtual time at which a fleet starts.
+/// The virtual time at which a run starts.
 const START_TIME: Millis = 1_000_000.0;
 const MILLIS_PER_SECOND: Millis = 1_000.0;
 const DEFAULT_LOAD: f64 = 0.6;
@@ -36,36 +37,36 @@
 const DEFAULT_MESSAGE_LATENCY: Millis = 10.0;
 const ZONE_COUNT: usize = 2;
 
-/// The workers and the jobs of a fleet.
+/// The workers and the jobs of a simulated fleet.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetConfig {
-    /// Workers.
+    /// Number of workers.
     pub worker_count: usize,
-    /// Jobs that a worker runs at a time.
+    /// Number of jobs that a worker runs concurrently.
     pub slots: usize,
-    /// Mean running time of a job.
+    /// Mean running time of a job whose key's data is cached, at a worker that has warmed up.
     pub mean_run_time: Millis,
-    /// Affinity keys of the jobs, a few of them frequent.
+    /// Number of distinct affinity keys. Few of them are frequent, most are rare.
     pub key_count: u32,
-    /// For all that is random.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
-/// Schedulers and workers, and what happens to them.
+/// A simulated fleet of schedulers and workers, with its virtual clock.
 pub struct Fleet {
-    /// The settings of every scheduler.
+    /// The settings of all schedulers; each gets its own ordinal.
     pub settings: Settings,
-    /// Jobs a second, of the whole fleet.
+    /// Mean number of jobs that arrive per second, for the whole fleet.
     pub arrival_rate: f64,
-    /// Part of the messages between schedulers that is lost.
+    /// Fraction of the messages between schedulers that is lost.
     pub message_loss: f64,
-    /// How long a message between schedulers is on its way.
+    /// One-way latency of the messages between schedulers.
     pub message_latency: Millis,
     now: Millis,
     events: EventQueue<FleetEvent>,
     rng: fastrand::Rng,
     baseline: Option<Baseline>,
-    /// The running schedulers by ordinal.
+    /// The schedulers, indexed by ordinal; `None` while a scheduler is killed.
     schedulers: Vec<Option<Scheduler>>,
     workers: WorkerPool,
     warming_workers: WarmingWorkers,
@@ -73,20 +74,20 @@
     statistics: FleetStatistics,
     key_count: u32,
     job_count: JobId,
-    /// The key of each job that arrived.
+    /// The affinity key of each job that has arrived.
     job_keys: BTreeMap<JobId, u32>,
-    /// Failed attempts of a job, by the scheduler that made them.
+    /// Number of failed attempts, by scheduler and job.
     failed_attempts: BTreeMap<(usize, JobId), usize>,
 }
 
 impl Fleet {
-    /// A fleet whose workers all schedulers know, at a load of 0.6.
+    /// Creates a fleet at a load of 0.6, in which every scheduler knows all workers.
     pub fn new(settings: Settings, config: FleetConfig) -> Fleet {
         let FleetConfig { worker_count, slots, mean_run_time, key_count, seed } = config;
         let scheduler_count = settings.schedulers as usize;
-        let all_slots = (worker_count * slots) as f64;
+        let total_slots = (worker_count * slots) as f64;
         let mut fleet = Fleet {
-            arrival_rate: DEFAULT_LOAD * all_slots * MILLIS_PER_SECOND / mean_run_time,
+            arrival_rate: DEFAULT_LOAD * total_slots * MILLIS_PER_SECOND / mean_run_time,
             message_loss: DEFAULT_MESSAGE_LOSS,
             message_latency: DEFAULT_MESSAGE_LATENCY,
             now: START_TIME,
@@ -109,53 +110,54 @@
         fleet
     }
 
-    /// The virtual time.
+    /// The current virtual time.
     pub fn now(&self) -> Millis {
         self.now
     }
 
-    /// Schedulers, running or not.
+    /// Number of schedulers, killed ones included.
     pub fn scheduler_count(&self) -> usize {
         self.schedulers.len()
     }
 
-    /// Workers.
+    /// Number of workers, failing ones included.
     pub fn worker_count(&self) -> usize {
         self.workers.len()
     }
 
-    /// Rules that were broken so far.
+    /// The rules broken so far, in the order of detection.
     pub fn violations(&self) -> &[Violation] {
         &self.checker.violations
     }
 
-    /// The counts since they were last taken.
+    /// The counters since the last [`Fleet::take_statistics`].
     pub fn statistics(&self) -> &FleetStatistics {
         &self.statistics
     }
 
-    /// The counts since they were last taken; they start again at zero.
+    /// Returns the counters and resets them to zero.
     pub fn take_statistics(&mut self) -> FleetStatistics {
         std::mem::take(&mut self.statistics)
     }
 
-    /// Additional running time of a job at a worker that has not cached its key's data, in mean running times.
+    /// Sets the additional running time of a job at a worker that has not cached the data of the job's key,
+    /// in units of the mean running time. The default is 0.
     pub fn set_fetch_cost(&mut self, fetch_cost: f64) {
         self.workers.fetch_cost = fetch_cost;
     }
 
-    /// From now on so many workers fail whatever they are sent, at once.
+    /// Makes the last `count` workers fail each attempt almost at once. All other workers serve normally.
     pub fn set_failing_workers(&mut self, count: usize) {
         self.workers.set_failing(count);
     }
 
-    /// All schedulers start again under a baseline.
+    /// Restarts all schedulers with a baseline policy in place of the production policy.
     pub fn use_baseline(&mut self, baseline: Baseline) {
         self.baseline = Some(baseline);
         (0..self.schedulers.len()).for_each(|scheduler| self.start(scheduler));
     }
 
-    /// Starts a scheduler, which knows nothing but the endpoint list.
+    /// Starts or restarts a scheduler. It knows the endpoint list, but keeps no state of an earlier start.
     pub fn start(&mut self, scheduler: usize) {
         let settings = Settings { ordinal: scheduler as u32, ..self.settings.clone() };
         let seed = self.rng.u64(..);
@@ -164,13 +166,13 @@
         self.handle_event(scheduler, Event::Workers { kind: ListKind::Full, entries });
     }
 
-    /// Kills a scheduler; its jobs are lost.
+    /// Kills a scheduler. Its pending jobs are lost.
     pub fn kill(&mut self, scheduler: usize) {
         self.schedulers[scheduler] = None;
-        self.statistics.lost += self.checker.scheduler_killed(scheduler);
+        self.statistics.lost += self.checker.remove_jobs_of(scheduler);
     }
 
-    /// Starts all schedulers that were killed.
+    /// Restarts all killed schedulers.
     pub fn restart_killed(&mut self) {
         for scheduler in 0..self.schedulers.len() {
             if self.schedulers[scheduler].is_none() {
@@ -179,7 +181,7 @@
         }
     }
 
-    /// Restarts the first so many workers, which then warm up.
+    /// Restarts the first `count` workers, which then have to warm up. Attempts in flight continue.
     pub fn restart_workers(&mut self, count: usize) {
         self.warming_workers = WarmingWorkers::restarted(0..count, self.now);
         for scheduler in 0..self.schedulers.len() {
@@ -189,17 +191,17 @@
         }
     }
 
-    /// What the workers that were restarted last were sent since.
+    /// The load that the most recently restarted workers were sent since their restart.
     pub fn warming_worker_load(&self) -> WarmingWorkerLoad {
         self.warming_workers.load(&self.settings, self.workers.slots, self.workers.mean_run_time)
     }
 
-    /// Attempts that the workers that were restarted last were sent since.
+    /// Number of attempts that the most recently restarted workers were sent since their restart.
     pub fn warming_worker_attempts(&self) -> usize {
         self.warming_workers.attempt_count()
     }
 
-    /// Notes a violation if a worker was overloaded while it was warming up.
+    /// Records a violation if one of the most recently restarted workers was overloaded.
     pub fn check_warming_workers(&mut self) {
         let load = self.warming_worker_load().max_load;
         if load >= self.settings.overload_multiple {
--- a/crates/simulator/src/fleet/checker.rs
+++ b/crates/simulator/src/fleet/checker.rs
@@ -1,66 +1,74 @@
-//! The checker's rules for schedulers: one answer for each job, by its deadline and a tolerance, and no message over the
-//! size that fits a datagram's part. It counts by itself, and not by what the schedulers say.
+//! Checks the rules that schedulers must keep: exactly one final answer for each job, no later than its
+//! deadline plus a tolerance, and no peer message over the maximum length. The checker tracks the jobs
+//! independently of the schedulers' own state.
 
 use brackenledge_policy::{JobId, Millis};
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// A job must be answered this long after its deadline.
+/// An answer is late if it comes more than this after the job's deadline.
 pub(super) const DEADLINE_TOLERANCE: Millis = 50.0;
+/// Maximum length of a message between schedulers, which must fit into its part of a datagram.
 const MAX_MESSAGE_BYTES: usize = 256;
 
-/// A rule that was broken.
+/// A broken rule. Times are virtual.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Violation {
-    /// A job was answered a second time.
+    /// A job was given a second final answer.
     AnsweredTwice {
-        /// When.
+        /// Time of the second answer.
         at: Millis,
-        /// Which job.
+        /// The job.
         job: JobId,
     },
-    /// A job was answered after its deadline.
+    /// A job was answered after its deadline and the tolerance.
     AnsweredLate {
-        /// When.
+        /// Time of the answer.
         at: Millis,
-        /// Which job.
+        /// The job.
         job: JobId,
     },
-    /// A job had no answer at its deadline.
+    /// A job had no answer after its deadline and the tolerance.
     NeverAnswered {
-        /// When that was noticed.
+        /// Time of detection.
         at: Millis,
-        /// Which job.
+        /// The job.
         job: JobId,
     },
-    /// A message between schedulers was too long.
+    /// A message between schedulers was longer than 256 bytes.
     MessageTooLong {
-        /// When.
+        /// Time of sending.
         at: Millis,
-        /// Its length.
+        /// Length of the message.
         bytes: usize,
     },
-    /// A worker that was warming up was sent too much.
+    /// A worker that was warming up was sent too many attempts.
     WarmingWorkerOverloaded {
-        /// The work in the span of [`overload_duration`](brackenledge_policy::Settings::overload_duration), as a multiple of what
-        /// the worker could do in it.
+        /// Work sent to the worker within one overload window
+        /// ([`overload_duration`](brackenledge_policy::Settings::overload_duration)), as a multiple of its
+        /// capacity in that window.
         load: f64,
     },
 }
 
 impl fmt::Display for Violation {
-    fn fmt(&self, text: &mut fmt::Formatter) -> fmt::Result {
+    fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
         match self {
-            Violation::AnsweredTwice { at, job } => write!(text, "{at:.0} ms: job {job} was answered twice"),
+            Violation::AnsweredTwice { at, job } => write!(f, "{at:.0} ms: job {job} was answered twice"),
             Violation::AnsweredLate { at, job } => {
-                write!(text, "{at:.0} ms: job {job} was answered too late")
+                write!(f, "{at:.0} ms: job {job} was answered too late")
+            }
+            Violation::NeverAnswered { at, job } => write!(f, "{at:.0} ms: job {job} was never answered"),
+            Violation::MessageTooLong { at, bytes } => {
+                write!(
+                    f,
+                    "{at:.0} ms: a message of {bytes} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes"
+                )
             }
-            Violation::NeverAnswered { at, job } => write!(text, "{at:.0} ms: job {job} was never answered"),
-            Violation::MessageTooLong { at, bytes } => write!(text, "{at:.0} ms: a message of {bytes} bytes"),
             Violation::WarmingWorkerOverloaded { load } => {
                 write!(
-                    text,
-                    "a worker that was warming up was sent {load:.2} times what it could do in a span"
+                    f,
+                    "a worker that was warming up was sent {load:.2} times its capacity in an overload window"
                 )
             }
         }
@@ -72,7 +80,7 @@
     scheduler: usize,
 }
 
-/// The jobs that have no answer yet, and the rules broken so far.
+/// The jobs without a final answer, and the rules broken so far.
 pub(super) struct Checker {
     deadline: Millis,
     pending: BTreeMap<JobId, PendingJob>,
@@ -80,22 +88,23 @@
 }
 
 impl Checker {
-    /// A checker of jobs that must be answered within a time of their arrival.
+    /// Creates a checker for jobs that must be answered within `deadline` of their arrival.
     pub fn new(deadline: Millis) -> Checker {
         Checker { deadline, pending: BTreeMap::new(), violations: Vec::new() }
     }
 
-    pub fn job_arrived(&mut self, now: Millis, job: JobId, scheduler: usize) {
+    pub fn record_arrival(&mut self, now: Millis, job: JobId, scheduler: usize) {
         self.pending.insert(job, PendingJob { arrived_at: now, scheduler });
     }
 
-    /// Whether a scheduler still has to answer a job.
+    /// Whether this scheduler still has to answer this job.
     pub fn is_pending(&self, job: JobId, scheduler: usize) -> bool {
         self.pending.get(&job).is_some_and(|pending| pending.scheduler == scheduler)
     }
 
-    /// Takes in the answer of a job; the time since its arrival, if it is the first answer.
-    pub fn job_answered(&mut self, now: Millis, job: JobId) -> Option<Millis> {
+    /// Records a final answer. Returns the time since the job's arrival, or `None` if the job was answered
+    /// before.
+    pub fn record_answer(&mut self, now: Millis, job: JobId) -> Option<Millis> {
         let Some(pending) = self.pending.remove(&job) else {
             self.violations.push(Violation::AnsweredTwice { at: now, job });
             return None;
@@ -106,20 +115,20 @@
         Some(now - pending.arrived_at)
     }
 
-    /// Takes in that a scheduler was killed; the number of its jobs, which need no answer any more.
-    pub fn scheduler_killed(&mut self, scheduler: usize) -> usize {
+    /// Removes the pending jobs of a killed scheduler, which need no answer any more. Returns their number.
+    pub fn remove_jobs_of(&mut self, scheduler: usize) -> usize {
         let before = self.pending.len();
         self.pending.retain(|_, pending| pending.scheduler != scheduler);
         before - self.pending.len()
     }
 
-    pub fn message_sent(&mut self, now: Millis, bytes: usize) {
+    pub fn check_message_length(&mut self, now: Millis, bytes: usize) {
         if bytes > MAX_MESSAGE_BYTES {
             self.violations.push(Violation::MessageTooLong { at: now, bytes });
         }
     }
 
-    /// Finds the jobs whose deadline has passed, each once.
+    /// Records a violation for each pending job whose deadline and tolerance have passed, once per job.
     pub fn check_deadlines(&mut self, now: Millis) {
         let latest_arrival = now - self.deadline - DEADLINE_TOLERANCE;
         let Checker { pending, violations, .. } = self;
--- a/crates/simulator/src/fleet/event_loop.rs
+++ b/crates/simulator/src/fleet/event_loop.rs
@@ -1,7 +1,7 @@
-//! What happens in a fleet as virtual time passes: arrivals, timers, messages, and the ends of attempts.
+//! The event loop of a simulated fleet: arrivals, timers, messages, and ends of attempts in virtual time.
 //!
-//! Each event goes to one scheduler, whose actions are executed at once, in their order, and may lead to further events
-//! at the same time.
+//! Each event goes to one scheduler. Its actions are executed at once and in order, and may cause further
+//! events at the same time.
 
 use super::Fleet;
 use super::workers::Attempt;
@@ -9,13 +9,14 @@
 use crate::statistics::Broadcast;
 use brackenledge_policy::{Action, AttemptResult, Event, JobId, Millis, NewJob, Outcome, WorkerId};
 
-/// The exponent that makes few keys frequent: the cube gives the first of 300 keys 15% of the jobs.
+/// Exponent applied to a uniform random number to select a key, which makes few keys frequent. With a cube,
+/// 15% of the jobs have the first of 300 keys.
 const KEY_SKEW: i32 = 3;
-/// Tenants of the settings here.
+/// Number of tenants in the [settings](super::settings()) of the simulated schedulers.
 const TENANT_COUNT: usize = 2;
 const MILLIS_PER_SECOND: Millis = 1_000.0;
 
-/// What happens next, at its time.
+/// A scheduled event.
 pub(super) enum FleetEvent {
     JobArrival,
     Timer { scheduler: usize },
@@ -24,7 +25,7 @@
 }
 
 impl Fleet {
-    /// Lets virtual time pass.
+    /// Advances the virtual clock by `duration` and processes all events that are due until then.
     pub fn run_for(&mut self, duration: Millis) {
         let until = self.now + duration;
         while let Some((at, event)) = self.events.pop_due(until) {
@@ -34,8 +35,8 @@
                 FleetEvent::Message { to, from, text } => {
                     self.handle_event(to, Event::PeerMessage { from, text });
                 }
-                FleetEvent::JobArrival => self.job_arrives(),
-                FleetEvent::AttemptEnd { worker, attempt } => self.attempt_ends(worker, attempt),
+                FleetEvent::JobArrival => self.handle_job_arrival(),
+                FleetEvent::AttemptEnd { worker, attempt } => self.handle_attempt_end(worker, attempt),
             }
         }
         self.now = until;
@@ -46,7 +47,7 @@
         self.events.schedule(to_micros(self.now + delay), event);
     }
 
-    /// Gives a scheduler an event, if it is running, and executes its actions.
+    /// Passes an event to a scheduler and executes the resulting actions. Does nothing if it has been killed.
     pub(super) fn handle_event(&mut self, scheduler: usize, event: Event) {
         let Some(state) = &mut self.schedulers[scheduler] else { return };
         for action in state.handle(self.now, event, &self.workers) {
@@ -60,11 +61,11 @@
             Action::StartAttempt { job, worker, .. } => self.send_attempt(scheduler, job, worker),
             Action::SendMessage { to, text } => self.send_message(scheduler, to, &text),
             Action::Reject { job, .. } => {
-                let is_first = self.checker.job_answered(self.now, job).is_some();
+                let is_first = self.checker.record_answer(self.now, job).is_some();
                 self.statistics.rejected += usize::from(is_first);
             }
             Action::Fail { job } => {
-                let is_first = self.checker.job_answered(self.now, job).is_some();
+                let is_first = self.checker.record_answer(self.now, job).is_some();
                 self.statistics.failed += usize::from(is_first);
             }
             _ => {}
@@ -73,7 +74,7 @@
 
     fn send_attempt(&mut self, scheduler: usize, job: JobId, worker: WorkerId) {
         self.statistics.attempts += 1;
-        self.warming_workers.attempt_sent(self.now, worker);
+        self.warming_workers.record_attempt(self.now, worker);
         let number = self.failed_attempts.get(&(scheduler, job)).copied().unwrap_or(0);
         let attempt = Attempt { scheduler, job, number };
         if self.workers.submit(self.now, worker, attempt) {
@@ -81,9 +82,9 @@
         }
     }
 
-    /// Sends a message to one scheduler or to all others.
+    /// Sends a message to one scheduler, or to all others if `to` is `None`. Each copy may be lost.
     pub(super) fn send_message(&mut self, from: usize, to: Option<u32>, text: &str) {
-        self.checker.message_sent(self.now, text.len());
+        self.checker.check_message_length(self.now, text.len());
         let receivers: Vec<usize> = match to {
             Some(to) => vec![to as usize],
             None => (0..self.schedulers.len()).filter(|&other| other != from).collect(),
@@ -109,7 +110,7 @@
         self.handle_event(attempt.scheduler, started);
     }
 
-    fn job_arrives(&mut self) {
+    fn handle_job_arrival(&mut self) {
         let scheduler = self.rng.usize(..self.schedulers.len());
         self.job_count += 1;
         self.statistics.jobs += 1;
@@ -124,7 +125,7 @@
             ..NewJob::default()
         };
         if self.schedulers[scheduler].is_some() {
-            self.checker.job_arrived(self.now, job.id, scheduler);
+            self.checker.record_arrival(self.now, job.id, scheduler);
         } else {
             self.statistics.lost += 1;
         }
@@ -133,7 +134,7 @@
         self.schedule_after(interval, FleetEvent::JobArrival);
     }
 
-    fn attempt_ends(&mut self, worker: WorkerId, attempt: Attempt) {
+    fn handle_attempt_end(&mut self, worker: WorkerId, attempt: Attempt) {
         if let Some(next) = self.workers.release_slot(worker) {
             self.statistics.queue_time += self.now - next.queued_at;
             self.start_attempt(worker, next.attempt);
@@ -145,7 +146,7 @@
             self.statistics.failed_attempts += 1;
             self.failed_attempts.insert((scheduler, job), number + 1);
         } else if self.checker.is_pending(job, scheduler) {
-            self.job_served(job);
+            self.record_served_job(job);
         }
         let outcome = if is_failed { Outcome::WorkerError } else { Outcome::Served };
         let result =
@@ -153,8 +154,8 @@
         self.handle_event(scheduler, Event::AttemptEnded(result));
     }
 
-    fn job_served(&mut self, job: JobId) {
-        let Some(latency) = self.checker.job_answered(self.now, job) else { return };
+    fn record_served_job(&mut self, job: JobId) {
+        let Some(latency) = self.checker.record_answer(self.now, job) else { return };
         let class = &self.settings.classes[0];
         let max_latency = class.latency_objective + class.stretch * self.workers.mean_run_time;
         self.statistics.served += 1;
--- a/crates/simulator/src/fleet/settings.rs
+++ b/crates/simulator/src/fleet/settings.rs
@@ -1,8 +1,9 @@
-//! The settings of simulated schedulers.
+//! Default settings of simulated schedulers.
 
 use brackenledge_policy::{Class, Effect, Settings, Tenant};
 
-/// One class, whose jobs may be executed twice, two tenants, and workers that can be overloaded while they warm up.
+/// Settings with one class, whose jobs may be executed more than once, two tenants, and workers that can be
+/// overloaded while they warm up.
 pub fn settings() -> Settings {
     let class = Class { latency_objective: 300.0, stretch: 2.0, deadline: 5_000.0, ..Class::default() };
     Settings {
--- a/crates/simulator/src/fleet/tests.rs
+++ b/crates/simulator/src/fleet/tests.rs
@@ -1,9 +1,9 @@
 use super::checker::DEADLINE_TOLERANCE;
 use super::*;
 
-/// The checker must be able to fail: each of its rules is broken once, by hand.
+/// Guards against a checker that never reports a violation: the test breaks its rules without a scheduler.
 #[test]
-fn each_rule_of_the_checker_can_be_broken() {
+fn late_missing_and_duplicate_answers_are_violations() {
     let config = FleetConfig { worker_count: 4, slots: 3, mean_run_time: 300.0, key_count: 10, seed: 1 };
     let mut fleet = Fleet::new(Settings { schedulers: 2, ..settings() }, config);
     fleet.arrival_rate = 1e-6;
@@ -13,19 +13,19 @@
     let overdue = deadline + 2.0 * DEADLINE_TOLERANCE;
     let now = fleet.now;
     for (job, age) in [(901, 0.0), (902, overdue), (903, overdue)] {
-        fleet.checker.job_arrived(now - age, job, 0);
+        fleet.checker.record_arrival(now - age, job, 0);
     }
-    assert_eq!(fleet.checker.job_answered(now, 901), Some(0.0));
-    fleet.checker.job_answered(now, 901);
-    fleet.checker.job_answered(now, 902);
+    assert_eq!(fleet.checker.record_answer(now, 901), Some(0.0));
+    fleet.checker.record_answer(now, 901);
+    fleet.checker.record_answer(now, 902);
     fleet.run_for(1.0);
     let violations: Vec<String> = fleet.violations().iter().map(ToString::to_string).collect();
-    let rules = ["901 was answered twice", "902 was answered too late", "903 was never answered"];
-    assert_eq!(violations.len(), rules.len(), "{violations:?}");
-    assert!(violations.iter().zip(rules).all(|(violation, rule)| violation.ends_with(rule)));
-    // Forty jobs at once are more than a worker that has just started may get in a span.
+    let expected = ["901 was answered twice", "902 was answered too late", "903 was never answered"];
+    assert_eq!(violations.len(), expected.len(), "{violations:?}");
+    assert!(violations.iter().zip(expected).all(|(violation, text)| violation.ends_with(text)));
+    // Forty jobs at once are more than a worker that has just started may be sent in an overload window.
     fleet.restart_workers(1);
-    (0..40).for_each(|_| fleet.warming_workers.attempt_sent(fleet.now, 0));
+    (0..40).for_each(|_| fleet.warming_workers.record_attempt(fleet.now, 0));
     assert!(fleet.warming_worker_load().max_load > fleet.settings.overload_multiple);
 }
 
@@ -39,7 +39,7 @@
     assert_eq!(fleet.violations(), []);
     fleet.send_message(0, Some(1), &"x".repeat(257));
     fleet.restart_workers(1);
-    (0..40).for_each(|_| fleet.warming_workers.attempt_sent(now, 0));
+    (0..40).for_each(|_| fleet.warming_workers.record_attempt(now, 0));
     fleet.check_warming_workers();
     let [message, warming_worker] = fleet.violations() else { panic!("{:?}", fleet.violations()) };
     assert_eq!(*message, Violation::MessageTooLong { at: now, bytes: 257 });
--- a/crates/simulator/src/fleet/workers.rs
+++ b/crates/simulator/src/fleet/workers.rs
@@ -1,29 +1,34 @@
-//! Workers with slots, a queue and a cache of keys' data.
+//! Simulated workers, each with slots, a queue, and a cache for the data of affinity keys.
 //!
-//! A worker runs as many attempts as it has slots, and the others wait in the order of their arrival. Running time depends
-//! on whether the data of the job's key is cached, and on how warm the worker is.
+//! A worker runs as many attempts concurrently as it has slots. The other attempts wait in a FIFO queue. The
+//! running time depends on whether the data of the job's key is cached, and on the worker's capacity while it
+//! warms up.
 
 use brackenledge_policy::{JobId, LoadReport, Millis, WorkerId};
 use std::collections::VecDeque;
 
-/// A failing worker fails an attempt in this time.
+/// The time after which a failing worker answers an attempt with an error.
 const FAILURE_TIME: Millis = 3.0;
-/// Part of the load reports that are taken before the next job starts, and count its slot as free.
+/// Fraction of the load reports that are taken before the next queued attempt starts, and so count its slot
+/// as free.
 const EARLY_REPORT_FRACTION: f64 = 0.1;
-/// Keys whose data a worker caches.
+/// Number of keys whose data a worker caches. The least recently used key is evicted first.
 const CACHED_KEYS: usize = 3;
-/// The shortest running time, as a part of the mean; the longest is as much above it.
+/// The shortest running time, as a fraction of the mean. Running times are uniformly distributed around the
+/// mean.
 const MIN_RUN_TIME_FACTOR: f64 = 0.5;
 
-/// One execution of a job.
+/// An attempt to execute a job, as sent to a worker.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Attempt {
+    /// Ordinal of the scheduler that sent it.
     pub scheduler: usize,
     pub job: JobId,
+    /// Number of this attempt within the job, from 0.
     pub number: usize,
 }
 
-/// An attempt in a worker's queue, or just taken out of it.
+/// An attempt that waits in a worker's queue, or has just left it.
 pub(super) struct QueuedAttempt {
     pub attempt: Attempt,
     pub queued_at: Millis,
@@ -32,18 +37,18 @@
 #[derive(Default)]
 struct Worker {
     running: usize,
-    /// The latest first.
+    /// The most recently used key first.
     cached_keys: VecDeque<u32>,
     queue: VecDeque<QueuedAttempt>,
 }
 
 impl Worker {
-    /// Attempts that run or wait.
+    /// Number of attempts that run or wait.
     fn attempt_count(&self) -> usize {
         self.running + self.queue.len()
     }
 
-    /// Whether a key's data was cached; now it is.
+    /// Caches the key's data, and returns whether it was cached before.
     fn access_key(&mut self, key: u32) -> bool {
         let was_cached = self.cached_keys.contains(&key);
         self.cached_keys.retain(|&other| other != key);
@@ -53,14 +58,14 @@
     }
 }
 
-/// All workers.
+/// All workers of a fleet.
 pub(super) struct WorkerPool {
     workers: Vec<Worker>,
     pub slots: usize,
     pub mean_run_time: Millis,
-    /// Additional running time if the key's data is not cached, in mean running times.
+    /// Additional running time if the key's data is not cached, in units of the mean running time.
     pub fetch_cost: f64,
-    /// Workers from this one on fail whatever they are sent.
+    /// All workers from this one on fail all attempts.
     first_failing: WorkerId,
 }
 
@@ -74,7 +79,7 @@
         self.workers.len()
     }
 
-    /// From now on the last of the workers fail whatever they are sent.
+    /// Makes the last `count` workers fail all attempts.
     pub fn set_failing(&mut self, count: usize) {
         self.first_failing = self.workers.len() - count;
     }
@@ -83,12 +88,12 @@
         worker >= self.first_failing
     }
 
-    /// Attempts that run or wait at each worker.
+    /// Number of attempts that run or wait, by worker.
     pub fn attempt_counts(&self) -> Vec<usize> {
         self.workers.iter().map(Worker::attempt_count).collect()
     }
 
-    /// Gives an attempt a free slot, or queues it; whether it got a slot.
+    /// Assigns a free slot to an attempt or queues it. Returns whether it got a slot.
     pub fn submit(&mut self, now: Millis, worker: WorkerId, attempt: Attempt) -> bool {
         let worker = &mut self.workers[worker];
         let has_free_slot = worker.running < self.slots;
@@ -100,7 +105,7 @@
         has_free_slot
     }
 
-    /// Frees the slot of an attempt that ended; the attempt that gets it.
+    /// Releases the slot of an attempt that ended. Returns the queued attempt that gets it, if there is one.
     pub fn release_slot(&mut self, worker: WorkerId) -> Option<QueuedAttempt> {
         let worker = &mut self.workers[worker];
         worker.running -= 1;
@@ -109,7 +114,7 @@
         Some(next)
     }
 
-    /// How long an attempt that starts now will run.
+    /// Draws the running time of an attempt that starts now, and caches the data of its key.
     pub fn run_time(
         &mut self,
         worker: WorkerId,
@@ -125,10 +130,10 @@
     }
 
     pub fn load_report(&self, worker: WorkerId, rng: &mut fastrand::Rng) -> LoadReport {
-        let is_early = f64::from(rng.f64() < EARLY_REPORT_FRACTION);
+        let early_report_slots = f64::from(rng.f64() < EARLY_REPORT_FRACTION);
         let worker = &self.workers[worker];
         LoadReport {
-            free_slots: Some((self.slots - worker.running) as f64 + is_early),
+            free_slots: Some((self.slots - worker.running) as f64 + early_report_slots),
             in_flight: Some(worker.attempt_count() as f64),
             ..LoadReport::default()
         }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,10 +1,12 @@
-//! Simulations on a virtual clock, each a function of its input and seed.
+//! Deterministic simulations on a virtual clock: equal inputs and seeds give equal results.
 //!
-//! | part | what is simulated | what runs unchanged |
+//! Each simulation runs the production code of one component against a simulated environment:
+//!
+//! | Entry point | Simulated environment | Production code |
 //! | --- | --- | --- |
-//! | [`Experiment`], [`run()`], [`Fleet`] | a fleet of schedulers and workers, single jobs, faults | the policy |
-//! | [`membership`] | a cluster of schedulers that crash, and lose messages | the membership crate |
-//! | [`zones`] | six zones as flows of work, of which some lose their workers | the planner of zone routing |
+//! | [`Experiment`], [`run()`], [`Fleet`] | workers, individual jobs, peer messages, faults | the policy |
+//! | [`membership`] | schedulers that crash, messages that are lost | the membership crate |
+//! | [`zones`] | six zones with work as a flow; some zones lose their workers | the zone routing planner |
 
 mod baselines;
 mod error;
--- a/crates/simulator/src/run.rs
+++ b/crates/simulator/src/run.rs
@@ -1,4 +1,4 @@
-//! The run of an experiment: faults start and end at full seconds, and each second is counted by itself.
+//! Runs an experiment. Faults start and end at full seconds, and statistics are collected for each second.
 
 use crate::baselines::Baseline;
 use crate::experiment::{Experiment, Fault};
@@ -8,27 +8,27 @@
 
 const WINDOW_LENGTH: Millis = 1_000.0;
 
-/// What a run shows.
+/// The result of a run.
 #[derive(Clone, Debug)]
 pub struct RunResult {
-    /// Its seconds in order.
+    /// The statistics of each second, in order.
     pub windows: Vec<Window>,
-    /// Rules that were broken, in the order in which that was noticed.
+    /// The checker's rules that were broken, in the order of detection.
     pub violations: Vec<Violation>,
 }
 
-/// Runs an experiment, with the schedulers' own policy or under a baseline.
+/// Runs an experiment under a baseline policy, or under the production policy if `baseline` is `None`.
 pub fn run(experiment: &Experiment, baseline: Option<Baseline>) -> RunResult {
-    let usual_rate = usual_arrival_rate(experiment);
+    let base_rate = base_arrival_rate(experiment);
     let mut fleet = new_fleet(experiment, baseline);
-    fleet.arrival_rate = usual_rate;
+    fleet.arrival_rate = base_rate;
     let mut windows = Vec::new();
     for second in 0..experiment.traffic.seconds {
         for fault in &experiment.faults {
             if fault.window().start == second {
-                start_fault(&mut fleet, fault, usual_rate);
+                start_fault(&mut fleet, fault, base_rate);
             } else if fault.window().end == second {
-                end_fault(&mut fleet, fault, usual_rate);
+                end_fault(&mut fleet, fault, base_rate);
             }
         }
         fleet.run_for(WINDOW_LENGTH);
@@ -38,8 +38,8 @@
     RunResult { windows, violations: fleet.violations().to_vec() }
 }
 
-/// Jobs a second at the experiment's load without a burst.
-fn usual_arrival_rate(experiment: &Experiment) -> f64 {
+/// Jobs per second at the experiment's load, outside bursts.
+fn base_arrival_rate(experiment: &Experiment) -> f64 {
     let Experiment { fleet, traffic, .. } = experiment;
     traffic.load * (fleet.workers * fleet.slots) as f64 * 1_000.0 / traffic.run_ms
 }
@@ -64,7 +64,7 @@
     fleet
 }
 
-fn start_fault(fleet: &mut Fleet, fault: &Fault, usual_rate: f64) {
+fn start_fault(fleet: &mut Fleet, fault: &Fault, base_rate: f64) {
     let count = |total: usize, fraction: f64| (total as f64 * fraction).round() as usize;
     match *fault {
         Fault::RestartWorkers { fraction, .. } => {
@@ -76,15 +76,15 @@
         Fault::KillSchedulers { fraction, .. } => {
             (0..count(fleet.scheduler_count(), fraction)).for_each(|scheduler| fleet.kill(scheduler));
         }
-        Fault::Burst { load_factor, .. } => fleet.arrival_rate = usual_rate * load_factor,
+        Fault::Burst { load_factor, .. } => fleet.arrival_rate = base_rate * load_factor,
     }
 }
 
-fn end_fault(fleet: &mut Fleet, fault: &Fault, usual_rate: f64) {
+fn end_fault(fleet: &mut Fleet, fault: &Fault, base_rate: f64) {
     match fault {
         Fault::RestartWorkers { .. } => {}
         Fault::FailingWorkers { .. } => fleet.set_failing_workers(0),
         Fault::KillSchedulers { .. } => fleet.restart_killed(),
-        Fault::Burst { .. } => fleet.arrival_rate = usual_rate,
+        Fault::Burst { .. } => fleet.arrival_rate = base_rate,
     }
 }
--- a/crates/simulator/src/statistics.rs
+++ b/crates/simulator/src/statistics.rs
@@ -1,75 +1,76 @@
-//! What is counted of a fleet, and the figures of one second.
+//! Counters of a simulated fleet, and the statistics of one second of a run.
 
 use brackenledge_policy::Millis;
 use serde::Serialize;
 
-/// A message that one scheduler sent to all the others.
+/// A message that one scheduler sent to all others.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Broadcast {
-    /// When.
+    /// Virtual time at which it was sent.
     pub at: Millis,
-    /// Who sent it.
+    /// Ordinal of the sender.
     pub scheduler: usize,
 }
 
-/// Counts since they were last taken.
+/// Counters of a fleet since the last [`Fleet::take_statistics`](crate::Fleet::take_statistics).
 #[derive(Clone, Debug, Default)]
 pub struct FleetStatistics {
     /// Jobs that arrived.
     pub jobs: usize,
-    /// Attempts sent to workers.
+    /// Attempts that schedulers sent to workers.
     pub attempts: usize,
-    /// Attempts that failed.
+    /// Attempts that a failing worker answered with an error.
     pub failed_attempts: usize,
-    /// Jobs served.
+    /// Jobs served, in time or late.
     pub served: usize,
-    /// Jobs served within their latency objective and the stretch of a running time.
+    /// Jobs served within their class's latency objective plus its stretch times the mean running time.
     pub in_time: usize,
-    /// Jobs rejected.
+    /// Jobs rejected by a scheduler.
     pub rejected: usize,
-    /// Jobs failed.
+    /// Jobs failed by a scheduler.
     pub failed: usize,
-    /// Jobs lost with a scheduler that was killed.
+    /// Jobs that were pending at a scheduler when it was killed, or that arrived at a killed one.
     pub lost: usize,
-    /// Time that attempts spent in workers' queues, in all.
+    /// Total time that attempts waited in workers' queues.
     pub queue_time: Millis,
-    /// Messages between schedulers, by receiver.
+    /// Messages between schedulers, lost ones included; a broadcast counts once per receiver.
     pub messages: usize,
-    /// Messages to all schedulers.
+    /// Broadcasts in the order in which they were sent.
     pub broadcasts: Vec<Broadcast>,
 }
 
-/// One second of a run. Jobs are counted in the second of their answer.
+/// Statistics of one second of a run. A job's answer counts in the second in which it is given.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Window {
-    /// Seconds from the start.
+    /// Start of this second, in seconds from the start of the run.
     pub second: u32,
     /// Jobs that arrived.
     pub jobs: usize,
-    /// Jobs served in time.
+    /// Jobs served in time, see [`FleetStatistics::in_time`].
     pub in_time: usize,
-    /// Jobs served late.
+    /// Jobs served, but not in time.
     pub late: usize,
-    /// Jobs rejected.
+    /// Jobs rejected by a scheduler.
     #[serde(rename = "refused")]
     pub rejected: usize,
-    /// Jobs failed.
+    /// Jobs failed by a scheduler.
     pub failed: usize,
-    /// Jobs lost with a scheduler.
+    /// Jobs lost with a killed scheduler.
     pub lost: usize,
-    /// Attempts that failed.
+    /// Attempts that a failing worker answered with an error.
     pub failed_attempts: usize,
-    /// Mean time in a worker's queue, in mean running times.
+    /// Mean time that an attempt waited in a worker's queue, in units of the mean running time, rounded to
+    /// two decimals.
     #[serde(rename = "wait")]
     pub mean_queue_time: f64,
-    /// Messages between schedulers, by receiver.
+    /// Messages between schedulers; a broadcast counts once per receiver.
     pub messages: usize,
 }
 
 impl Window {
     pub(crate) fn new(second: u32, statistics: &FleetStatistics, mean_run_time: Millis) -> Window {
         let mean_queue_time = statistics.queue_time / statistics.attempts.max(1) as f64;
-        let run_times = mean_queue_time / mean_run_time;
+        let relative_queue_time = mean_queue_time / mean_run_time;
         Window {
             second,
             jobs: statistics.jobs,
@@ -79,7 +80,7 @@
             failed: statistics.failed,
             lost: statistics.lost,
             failed_attempts: statistics.failed_attempts,
-            mean_queue_time: (run_times * 100.0).round() / 100.0,
+            mean_queue_time: (relative_queue_time * 100.0).round() / 100.0,
             messages: statistics.messages,
         }
     }
