--- a/crates/simulator/tests/experiment.rs
+++ b/crates/simulator/tests/experiment.rs
@@ -1,4 +1,4 @@
-//! Experiment files: what is wrong in them is named, and what is right runs the same each time.
+//! Experiment files: errors name the invalid key, and valid experiments run deterministically.
 #![allow(missing_docs)]
 
 use brackenledge_simulator::{Baseline, Experiment, run};
@@ -9,7 +9,7 @@
 
 #[test]
 fn an_error_names_the_invalid_key() {
-    for (was, is, named) in [
+    for (original, replacement, message) in [
         ("schedulers = 100", "schedulers = 0", "fleet.schedulers = 0: give a number from 1 to 1000"),
         ("workers = 60", "workers = 20000", "fleet.workers = 20000"),
         ("workers = 60", "", "missing field `workers`"),
@@ -35,10 +35,10 @@
         ),
         ("until = 24", "until = 22", "fault 3 (kill-schedulers): until = 22: give a number from 23 to 40"),
     ] {
-        let text = QUICK.replacen(was, is, 1);
-        assert_ne!(text, QUICK, "{was}");
-        let error = Experiment::parse(&text).expect_err(is);
-        assert!(error.to_string().contains(named), "{is}: {error}");
+        let text = QUICK.replacen(original, replacement, 1);
+        assert_ne!(text, QUICK, "{original}");
+        let error = Experiment::parse(&text).expect_err(replacement);
+        assert!(error.to_string().contains(message), "{replacement}: {error}");
     }
 }
 
@@ -52,10 +52,12 @@
     assert_eq!(run(&experiment, None).windows, windows);
     experiment.seed += 1;
     assert_ne!(run(&experiment, None).windows, windows);
-    // A burst is over 3 s after its end, and so is a kill; what failed at once is found out within the second.
+    // The fleet has recovered 3 s after the end of a burst or a kill. Workers that fail at once are detected
+    // within a second.
     let in_time_fraction = |second: usize| {
-        let w = &windows[second];
-        w.in_time as f64 / (w.in_time + w.late + w.rejected + w.failed + w.lost) as f64
+        let window = &windows[second];
+        window.in_time as f64
+            / (window.in_time + window.late + window.rejected + window.failed + window.lost) as f64
     };
     for second in [4, 12, 21, 27] {
         assert!(in_time_fraction(second) > 0.9, "{second}: {:?}", windows[second]);
@@ -63,44 +65,45 @@
     assert!(windows[16].failed_attempts * 50 < windows[16].jobs);
 }
 
-/// A policy that knows the true loads serves more in time than one that knows its own, and that more than one that knows
-/// none.
+/// The more a policy knows of the load, the more jobs it serves in time: random knows nothing, two choices
+/// knows the scheduler's own attempts, and the oracle knows the true load. The production policy must lie
+/// between two choices and the oracle.
 #[test]
-fn baselines_rank_as_they_should() {
+fn policies_that_know_more_of_the_load_serve_more_in_time() {
     let without_faults = QUICK.split("[[fault]]").next().expect("an experiment without faults");
     let mut experiment = Experiment::parse(without_faults).expect("an experiment");
     (experiment.fleet.schedulers, experiment.fleet.workers, experiment.traffic.seconds) = (40, 24, 15);
     let in_time_fraction = |baseline| {
         let windows = run(&experiment, baseline).windows;
-        let in_time = windows.iter().map(|w| w.in_time).sum::<usize>() as f64;
-        in_time / windows.iter().map(|w| w.jobs).sum::<usize>() as f64
+        let in_time = windows.iter().map(|window| window.in_time).sum::<usize>() as f64;
+        in_time / windows.iter().map(|window| window.jobs).sum::<usize>() as f64
     };
-    let own = in_time_fraction(None);
+    let production = in_time_fraction(None);
     let [random, two_choices, oracle] =
         [Baseline::Random, Baseline::TwoChoices, Baseline::Oracle].map(|it| in_time_fraction(Some(it)));
-    println!("random {random}, two choices {two_choices}, oracle {oracle}, own {own}");
+    println!("random {random}, two choices {two_choices}, oracle {oracle}, production {production}");
     assert!(random < two_choices && two_choices < oracle, "{random} {two_choices} {oracle}");
-    assert!((two_choices..=oracle).contains(&own), "{two_choices} {oracle} {own}");
+    assert!((two_choices..=oracle).contains(&production), "{two_choices} {oracle} {production}");
 }
 
 #[test]
-fn a_file_with_the_old_keys_is_read_the_same() {
+fn former_names_of_renamed_keys_are_accepted() {
     assert_ne!(OLD_KEYS, QUICK);
     let old = Experiment::parse(OLD_KEYS).expect("an experiment");
     assert_eq!(old, Experiment::parse(QUICK).expect("an experiment"));
-    for (was, is) in
+    for (original, old_key) in
         [("[traffic]", "[network]\none-way-ms = 35\n[traffic]"), ("load = 0.45", "load = 0.45\nfetch = 2")]
     {
-        let old = Experiment::parse(&OLD_KEYS.replacen(was, is, 1)).expect("an experiment");
-        let renamed = is.replace("one-way-ms", "latency-ms").replace("fetch", "fetch-cost");
-        let new = Experiment::parse(&QUICK.replacen(was, &renamed, 1)).expect("an experiment");
-        assert_eq!(old, new, "{is}");
-        assert_ne!(old, Experiment::parse(QUICK).expect("an experiment"), "{is}");
+        let old = Experiment::parse(&OLD_KEYS.replacen(original, old_key, 1)).expect("an experiment");
+        let new_key = old_key.replace("one-way-ms", "latency-ms").replace("fetch", "fetch-cost");
+        let new = Experiment::parse(&QUICK.replacen(original, &new_key, 1)).expect("an experiment");
+        assert_eq!(old, new, "{old_key}");
+        assert_ne!(old, Experiment::parse(QUICK).expect("an experiment"), "{old_key}");
     }
 }
 
 #[test]
-fn a_file_that_cannot_be_read_is_named() {
-    let error = Experiment::load(Path::new("no/such/experiment.toml")).expect_err("there is none");
+fn the_error_for_an_unreadable_file_starts_with_its_path() {
+    let error = Experiment::load(Path::new("no/such/experiment.toml")).expect_err("the file is missing");
     assert!(error.to_string().starts_with("no/such/experiment.toml: "), "{error}");
 }
