--- a/crates/daemon/src/net/cluster/admin.rs
+++ b/crates/daemon/src/net/cluster/admin.rs
@@ -1,6 +1,9 @@
 //! The lines of `MEMBERS` and `DUTIES` at the admin endpoint. Their text is what operators' scripts read: it does not
 //! follow the names in the source.
 
+#[cfg(test)]
+mod tests;
+
 use super::{Cluster, events::ordinals, micros, roles};
 use brackenledge_leases::{Role, RoleStatus, ViewStatus};
 use brackenledge_membership::{MemberState, ProcessId};
--- a/crates/daemon/src/net/cluster/tests.rs
+++ b/crates/daemon/src/net/cluster/tests.rs
@@ -42,3 +42,9 @@
         ]
     );
 }
+
+/// The log, `DUTIES` and its readers have these names.
+#[test]
+fn each_role_has_this_name() {
+    assert_eq!([0, 1, 2].map(roles::name), ["relay", "zones", "unknown"]);
+}
--- a/crates/daemon/src/net/zone_routing/tests.rs
+++ b/crates/daemon/src/net/zone_routing/tests.rs
@@ -1,9 +1,9 @@
 //! Pins the bytes of a zone report: the leader that it goes to may be of another build. The expected
-//! bytes were written by the build of commit 72e1d57.
+//! bytes were written by the build of commit 72e1d57. Also pins the lines of `ZONES` at the admin endpoint.
 
 use super::*;
 use brackenledge_test_support::hex;
-use brackenledge_zone_routing::{RouteStats, SchedulerZoneReport};
+use brackenledge_zone_routing::{PlanVersion, RouteStats, SchedulerZoneReport};
 
 #[test]
 fn a_report_has_these_bytes() {
@@ -18,3 +18,31 @@
     let read = ZoneReport::decode(&hex::decode(bytes), 2).expect("a report");
     assert_eq!((read.zone, read.observed), (1, observed));
 }
+
+/// Operators' scripts read these lines: names, order and words stay.
+#[test]
+fn the_lines_of_zones_have_these_fields() {
+    let names = ["north".to_owned(), "south".to_owned(), "west".to_owned()];
+    let shares = [vec![0.75, 0.25, 0.0], vec![0.0, 0.5, 0.0], vec![0.0; 3]];
+    let version = PlanVersion { term: PlannerTerm::from([1, 2, 3, 4, 5]), sequence: 6 };
+    let plan = Plan::new(version, 0, &shares);
+    let counts = Counts { stale_plans: 7, malformed: 8, plans_made: 9 };
+    assert_eq!(
+        status::summary_line(RoutingSource::Plan, plan.version, &counts),
+        "by=plan plan=1.2.3.4.5/6 plans_made=9 refused=7 nonsense=8"
+    );
+    assert_eq!(
+        status::zone_lines(&plan, &names, &[0.0, 1.25]),
+        [
+            "zone=north to=north:0.750,south:0.250 refused=0.000 price_here=0.00",
+            "zone=south to=south:0.500 refused=0.500 price_here=1.25",
+            "zone=west to=nowhere refused=1.000 price_here=none",
+        ]
+    );
+    assert_eq!(status::remote_shares(&plan, &names), "north>south 0.25");
+    assert_eq!(status::remote_shares(&Plan::local_only(3), &names), "all local");
+    let policy = brackenledge_policy::Settings::default();
+    let mut routing = ZoneRouting::new(&ZoneOptions::default(), names.to_vec(), &policy);
+    let at_start = "by=own-evidence plan=0.0.0.0.0/0 plans_made=0 refused=0 nonsense=0";
+    assert_eq!(routing.status_lines(0.0), [at_start]);
+}
--- a/crates/daemon/tests/admin_endpoint.rs
+++ b/crates/daemon/tests/admin_endpoint.rs
@@ -153,6 +153,8 @@
         (scheduler.admin_call(b"MEMBERS\n"), scheduler.admin_call(b"duties\n")),
         (off_reply.into(), off_reply.into())
     );
+    let zones_off_reply = "error zones are off: set zones.on in the operators' file\n";
+    assert_eq!(scheduler.admin_call(b"ZONES\n"), zones_off_reply);
     let address = scheduler.admin_address.to_string();
     let members = run(&["members", "--control", &address], None);
     let message = String::from_utf8_lossy(&members.stderr).into_owned();
--- a/crates/daemon/tests/support/scheduler.rs
+++ b/crates/daemon/tests/support/scheduler.rs
@@ -135,9 +135,15 @@
 
 fn command(program: &str, arguments: &[&str]) -> Command {
     let mut command = Command::new(program);
-    for name in
-        ["PROXY_CONFIG", "PROXY_NAME", "PROXY_LISTEN", "PROXY_DISCOVERY", "PROXY_CONTROL", "PROXY_OPERATIONS"]
-    {
+    for name in [
+        "PROXY_CONFIG",
+        "PROXY_NAME",
+        "PROXY_LISTEN",
+        "PROXY_DISCOVERY",
+        "PROXY_CONTROL",
+        "PROXY_OPERATIONS",
+        "PROXY_LOG_LEVEL",
+    ] {
         command.env_remove(name);
     }
     command.args(arguments).stderr(Stdio::piped()).stdout(Stdio::piped());
