--- a/crates/daemon/src/net/cluster/admin.rs
+++ b/crates/daemon/src/net/cluster/admin.rs
@@ -1,12 +1,12 @@
-//! The lines of `MEMBERS` and `DUTIES` at the admin endpoint. Their text is what operators' scripts read: it does not
-//! follow the names in the source.
+//! Replies to the admin calls `MEMBERS` and `DUTIES`. Operators' scripts parse them, so their field names are
+//! part of the interface and differ from the names in the source.
 
 use super::{Cluster, events::ordinals, micros, roles};
 use brackenledge_leases::{Role, RoleStatus, ViewStatus};
 use brackenledge_membership::{MemberState, ProcessId};
 
 impl Cluster {
-    /// The reply to `MEMBERS`: the view, and a line for each process.
+    /// The reply to `MEMBERS`: a line with the current view, then one line per known process.
     pub fn members_lines(&self) -> Vec<String> {
         let status = self.leases.status(micros());
         let mut lines = vec![self.view_line(status.view.as_ref(), status.leader)];
@@ -26,30 +26,30 @@
     }
 
     fn view_line(&self, status: Option<&ViewStatus>, leader: Option<ProcessId>) -> String {
-        let living = self.reported_active_members;
+        let active = self.reported_active_members;
         let Some(ViewStatus { view, age }) = status else {
-            return format!("view=none age_ms=0 steward=none voters=none living={living}");
+            return format!("view=none age_ms=0 steward=none voters=none living={active}");
         };
         let leader = leader.map_or("none".into(), |process| process.ordinal.to_string());
         let (epoch, age, voters) = (view.epoch, age / 1_000, ordinals(&view.voters));
-        format!("view={epoch} age_ms={age} steward={leader} voters={voters} living={living}")
+        format!("view={epoch} age_ms={age} steward={leader} voters={voters} living={active}")
     }
 
-    /// The reply to `DUTIES`: a line for each role, and one of counts.
+    /// The reply to `DUTIES`: one line per role, then a line of counters.
     pub fn duties_lines(&self) -> Vec<String> {
         let status = self.leases.status(micros());
         let roles = 0..roles::count(&self.operations);
         let mut lines: Vec<String> =
             roles.map(|role| role_line(role, status.roles.get(&role).copied())).collect();
-        let counts = self.membership.counts();
+        let membership_counts = self.membership.counts();
         lines.push(format!(
             "deeds_accepted={} deeds_refused={} sums_withheld={} nonsense={} dropped={} given_up_by_mistake={}",
             self.fencing_guard.accepted,
             self.fencing_guard.rejected,
             self.withheld_aggregates,
-            self.malformed_datagrams + counts.malformed,
+            self.malformed_datagrams + membership_counts.malformed,
             self.leases.dropped_messages,
-            counts.false_positives
+            membership_counts.false_positives
         ));
         lines
     }
@@ -64,7 +64,7 @@
     format!("duty={name} owner={} term={term} own_lease_left_ms={remaining}", holder.ordinal)
 }
 
-/// A member's state as operators' scripts read it.
+/// The value of the field `standing` for a member's state.
 fn state_name(state: MemberState) -> &'static str {
     match state {
         MemberState::Alive => "alive",
--- a/crates/daemon/src/net/cluster/datagram.rs
+++ b/crates/daemon/src/net/cluster/datagram.rs
@@ -1,20 +1,20 @@
-//! The datagrams of a cluster: one byte for the kind, then the payload. The bytes of the kinds are not ASCII, so that no
-//! text between schedulers begins with one.
+//! Framing of cluster datagrams: one byte for the kind, then the payload. The kind bytes are outside ASCII,
+//! which distinguishes these datagrams from the text messages that use the same socket.
 
 use super::roles;
 use crate::net::peer_socket::PeerSocket;
 use brackenledge_leases::FencingToken;
 
-/// What a datagram carries. The byte of each kind is part of the wire format.
+/// The payload type of a datagram. The discriminants are the kind bytes of the wire format.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DatagramKind {
-    /// A message of `membership`.
+    /// A message of the `membership` protocol.
     Membership = 0xf1,
-    /// A message of `leases`.
+    /// A message of the `leases` protocol.
     Leases = 0xf2,
-    /// A fencing token, and what the holder of a role sends under it.
+    /// A message from the holder of a role, preceded by its fencing token.
     Fenced = 0xf3,
-    /// A scheduler's zone load report, for the zone planner.
+    /// A scheduler's zone load report, sent to the zone planner.
     ZoneReport = 0xf4,
 }
 
@@ -22,14 +22,15 @@
     const ALL: [DatagramKind; 4] =
         [DatagramKind::Membership, DatagramKind::Leases, DatagramKind::Fenced, DatagramKind::ZoneReport];
 
-    /// Splits a datagram into its kind and payload. `None`: it is of no such kind.
+    /// Splits a datagram into its kind and payload. Returns `None` if it is empty or starts with no known
+    /// kind byte.
     pub fn split(datagram: &[u8]) -> Option<(DatagramKind, &[u8])> {
         let (byte, payload) = datagram.split_first()?;
         let kind = DatagramKind::ALL.into_iter().find(|kind| *kind as u8 == *byte)?;
         Some((kind, payload))
     }
 
-    /// Sends a datagram of this kind to the scheduler of this ordinal.
+    /// Sends a datagram of this kind to the scheduler with this ordinal.
     pub fn send_to(self, socket: &PeerSocket, ordinal: u16, payload: &[u8]) {
         socket.send_to(ordinal, &self.encode(payload));
     }
@@ -47,20 +48,22 @@
     }
 }
 
-/// What is left to do with a datagram that [`Cluster::handle_message`](super::Cluster::handle_message) was given.
+/// What the caller of [`Cluster::handle_message`](super::Cluster::handle_message) must still do with a
+/// datagram.
 #[derive(Debug, PartialEq, Eq)]
 pub enum Received {
-    /// Nothing: it was for the cluster itself, or was rejected.
+    /// Nothing: the cluster has processed or rejected it.
     Handled,
-    /// Aggregated loads, from the aggregator.
+    /// Pass on the aggregated loads, sent by the aggregator.
     AggregatedLoads(String),
-    /// A traffic plan, from the zone planner.
+    /// Pass on the encoded plan, sent by the zone planner.
     ZonePlan(Vec<u8>),
-    /// A zone load report, for the zone planner.
+    /// Pass on the encoded zone load report, which is addressed to the zone planner.
     ZoneReport(Vec<u8>),
 }
 
-/// Decodes a fenced message of the scheduler `from`. `None`: it is malformed.
+/// Decodes a fenced message received from the scheduler `from`. Returns `None` if it is malformed, its role
+/// is unknown, or its token names another holder.
 pub fn decode_fenced(from: u16, bytes: &[u8]) -> Option<(FencingToken, Received)> {
     let (token, payload) = FencingToken::decode_message(bytes).ok()?;
     if token.holder.ordinal != from {
--- a/crates/daemon/src/net/cluster/events.rs
+++ b/crates/daemon/src/net/cluster/events.rs
@@ -1,11 +1,11 @@
-//! Log lines: one for each event of membership and leases, with its name and fields.
+//! Structured log lines for events of membership and leases.
 
 use super::roles;
 use brackenledge_leases::{Event, LeadershipLoss, Role, Term, View};
 use brackenledge_membership::ProcessId;
 use slog::{Logger, info, warn};
 
-/// Ordinals, separated by commas.
+/// Formats the ordinals of processes as a comma-separated list.
 pub fn ordinals(processes: &[ProcessId]) -> String {
     processes.iter().map(|process| process.ordinal.to_string()).collect::<Vec<_>>().join(",")
 }
@@ -18,28 +18,28 @@
     info!(log, "member_down"; "ordinal" => process.ordinal, "incarnation" => process.incarnation);
 }
 
-/// A newer process of the same ordinal has started.
+/// A process with the same ordinal and a later incarnation was detected.
 pub fn process_superseded(log: &Logger) {
     info!(log, "process_superseded");
 }
 
-/// The newer process is gone, and this one takes part again.
+/// The process that superseded this one is gone, and this process participates in the cluster again.
 pub fn process_rejoined(log: &Logger) {
     info!(log, "process_rejoined");
 }
 
-/// The epoch can't be stored: this process takes no part in the cluster until it can.
+/// The epoch can't be stored. This process sends no lease messages until a write succeeds.
 pub fn epoch_store_failed(log: &Logger, error: &dyn std::error::Error) {
     warn!(log, "epoch_store_failed"; "setting" => "tier.state_dir", "error" => %error);
 }
 
-/// This process holds a role under a term, or holds it no longer.
+/// This process acquired the lease of a role under `term`, or lost it (`None`).
 pub fn role_lease_changed(log: &Logger, role: Role, term: Option<Term>) {
     let term = term.map_or("none".into(), |term| term.to_string());
     info!(log, "role_lease_changed"; "role" => roles::name(role), "term" => term);
 }
 
-/// An event of the leases.
+/// Logs an event of the lease manager under its own name.
 pub fn lease_event(log: &Logger, event: Event) {
     match event {
         Event::ViewAbandoned { epoch, live_voters } => {
--- a/crates/daemon/src/net/cluster/mod.rs
+++ b/crates/daemon/src/net/cluster/mod.rs
@@ -1,11 +1,13 @@
-//! Membership and leases on sockets: the driver of the crates `membership` and `leases`. It executes their commands, and
-//! hands them their datagrams.
+//! I/O driver for the state machines of the crates `membership` and `leases`: passes received datagrams to
+//! them and executes their commands.
 //!
-//! **Invariants.** A message in a role is sent only under a role lease that is held at that moment, and accepted only if
-//! no later term of the role is known. A later epoch is stored before the next message of `leases` is sent.
+//! **Invariants.** A role's message is sent only while this process holds the role's lease, and is accepted
+//! only if the receiver knows no later term of that role. A later epoch is stored before the next lease
+//! message is sent.
 //!
-//! The clock is CLOCK_BOOTTIME, which counts the time that the process was stopped and that the machine slept. A pause
-//! between the check of a lease and an action makes the action late; receivers reject it by its term.
+//! The clock is CLOCK_BOOTTIME, which also advances while the process is stopped or the machine is suspended.
+//! If the process is paused between a lease check and the action that depends on it, the action may come
+//! after the lease has expired; receivers that know a later term reject it.
 
 mod admin;
 mod datagram;
@@ -29,16 +31,17 @@
 use slog::Logger;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A newer process of the same ordinal is taken for gone if no datagram addressed to it has arrived for so long. Longer
-/// than membership takes to declare it down.
+/// A process that superseded this one counts as gone once no datagram addressed to it has arrived for this
+/// long, in microseconds. Longer than membership takes to declare a member down.
 const SUPERSEDED_TIMEOUT: Micros = 15_000_000;
 
-/// Upper limit of the time until [`Cluster::handle_timeout`] is to be called again, in milliseconds.
+/// Upper limit of the delay that [`Cluster::handle_timeout`] returns, in milliseconds.
 const MAX_TIMEOUT: Millis = 1_000.0;
-/// Lower limit of that time. Nothing else is due at once, since one call does all that is due.
+/// Lower limit of that delay, in milliseconds. Nothing is due sooner, since each call handles everything that
+/// is due.
 const MIN_TIMEOUT: Millis = 1.0;
 
-/// Microseconds on a clock that goes on while the process is stopped or the machine sleeps.
+/// Current time in microseconds of CLOCK_BOOTTIME, which includes time stopped or suspended.
 pub fn micros() -> Micros {
     let time = rustix::time::clock_gettime(rustix::time::ClockId::Boottime);
     u64::try_from(time.tv_sec).unwrap_or(0) * 1_000_000 + u64::try_from(time.tv_nsec).unwrap_or(0) / 1_000
@@ -48,29 +51,32 @@
     micros as Millis / 1_000.0
 }
 
-/// Why a process can't take part in its cluster.
+/// Why a process can't participate in its cluster.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// The state directory can't be used.
+    /// The epoch store in the state directory can't be opened.
     #[error("tier.state_dir: {0}")]
     StateDirectory(#[from] EpochStoreError),
 }
 
-/// One process's membership and leases.
+/// Membership and leases of this process, with the state that their driver needs.
 pub struct Cluster {
     membership: Membership,
     leases: LeaseManager,
     fencing_guard: FencingGuard,
     active_members: ActiveMemberEstimate,
-    /// The estimate that [`Cluster::take_active_member_change`] returned last.
+    /// The last estimate returned by [`Cluster::take_active_member_change`]; the size of the cluster before
+    /// that.
     reported_active_members: usize,
+    /// Absent if operators configured no state directory.
     epoch_store: Option<EpochStore>,
-    /// The last write to the store failed, and the failure is in the log.
+    /// Whether the last write to the store failed. A failure is logged only when this changes to `true`.
     epoch_store_failing: bool,
-    /// Aggregated loads that were computed here and not sent, since another process is the aggregator.
+    /// Aggregated loads that were computed here but not sent, since this process did not hold the
+    /// aggregator's lease.
     withheld_aggregates: u64,
     malformed_datagrams: u64,
-    /// Where a newer process has this one's ordinal: when a datagram addressed to it last arrived here.
+    /// Set while this process is superseded: when a datagram addressed to its successor last arrived here.
     superseded_at: Option<Micros>,
     leaving: bool,
     ordinal: u16,
@@ -80,7 +86,7 @@
 }
 
 impl Cluster {
-    /// A process that has just started. `seed`: for membership's random choices.
+    /// Creates the state of a process that has just started. `seed` is for the random choices of membership.
     pub fn new(
         ordinal: u16,
         cluster_size: usize,
@@ -109,8 +115,8 @@
         if let Some(store) = &epoch_store {
             leases.restore_epoch(store.stored());
         }
-        // Within this time each process has received the latest member list, which is sent with heartbeats, or has heard
-        // from no leader for so long that it counts the whole cluster.
+        // Within this time each process has either received the latest member list, which is sent with
+        // heartbeats, or heard from no leader for so long that it assumes the whole cluster to be active.
         let settle_time = settings.bootstrap_timeout + settings.heartbeat_interval;
         Cluster {
             membership: Membership::new(millis(now), me, others, &swim_config, seed),
@@ -131,7 +137,7 @@
         }
     }
 
-    /// Takes part again, as a process that has just started, once the newer one of the same ordinal is gone.
+    /// Rejoins the cluster as a newly started process, after the process that superseded this one is gone.
     fn rejoin(&mut self, log: &Logger) {
         let store = self.epoch_store.take();
         let fresh =
@@ -140,14 +146,15 @@
             withheld_aggregates: self.withheld_aggregates,
             malformed_datagrams: self.malformed_datagrams,
             fencing_guard: std::mem::take(&mut self.fencing_guard),
-            // What the engine uses until the next change is reported.
+            // The engine keeps using this value until the next change is reported.
             reported_active_members: self.reported_active_members,
             ..fresh
         };
         events::process_rejoined(log);
     }
 
-    /// Handles a datagram of the scheduler `from`. `None`: its kind is not one of [`DatagramKind`].
+    /// Handles a datagram from the scheduler `from`. Returns `None` if its kind is not one of
+    /// [`DatagramKind`].
     pub fn handle_message(&mut self, from: u16, datagram: &[u8]) -> Option<Received> {
         let (kind, payload) = DatagramKind::split(datagram)?;
         match kind {
@@ -194,7 +201,7 @@
         }
     }
 
-    /// Does what is due. Returns the time until something is due again.
+    /// Handles all due timeouts. Returns the delay until the next call, in milliseconds.
     pub fn handle_timeout(&mut self, socket: &PeerSocket, log: &Logger) -> Millis {
         let now = micros();
         if let Some(last) = self.superseded_at {
@@ -211,7 +218,7 @@
         (next - millis(now)).clamp(MIN_TIMEOUT, MAX_TIMEOUT)
     }
 
-    /// Executes the commands of membership and leases.
+    /// Executes the pending commands of membership and leases.
     pub fn execute_commands(&mut self, socket: &PeerSocket, log: &Logger) {
         let mut members_changed = false;
         while let Some(command) = self.membership.poll_command() {
@@ -264,8 +271,8 @@
         }
     }
 
-    /// Stores the latest epoch if there is a state directory. Returns whether lease messages may be sent: a process that
-    /// can't store its epoch takes no part in leases, and goes on serving jobs.
+    /// Stores the latest epoch if there is a state directory. Returns whether lease messages may be sent: a
+    /// process that can't store its epoch must not participate in leases, but continues to serve jobs.
     fn store_epoch(&mut self, log: &Logger) -> bool {
         let Some(store) = &mut self.epoch_store else { return true };
         let stored = store.store(self.leases.latest_epoch());
@@ -279,7 +286,7 @@
         !failed
     }
 
-    /// Updates the number of schedulers that share the workers. Returns it if it differs from the one returned last.
+    /// Updates the estimated number of schedulers that share the workers. Returns it if it has changed.
     pub fn take_active_member_change(&mut self) -> Option<u32> {
         let now = micros();
         let listed = if self.superseded_at.is_some() { None } else { self.leases.active_member_count(now) };
@@ -288,8 +295,8 @@
         (previous != count).then_some(count as u32)
     }
 
-    /// Leaves the cluster at a graceful shutdown: gives all leases but the member lease back, and announces to the others
-    /// that this process leaves.
+    /// Leaves the cluster at the start of a graceful shutdown: releases all leases except the member lease,
+    /// and announces the departure to the other members.
     pub fn leave(&mut self, socket: &PeerSocket, log: &Logger) {
         let now = micros();
         self.leaving = true;
@@ -298,52 +305,54 @@
         self.execute_commands(socket, log);
     }
 
-    /// Gives the member lease back, once this process starts no attempts any more.
+    /// Releases the member lease. Called once this process starts no more attempts.
     pub fn release_member_lease(&mut self, socket: &PeerSocket, log: &Logger) {
         self.leases.release_member_lease();
         self.execute_commands(socket, log);
     }
 
-    /// This process.
+    /// The identity of this process: its ordinal and its current incarnation.
     pub fn me(&self) -> ProcessId {
         self.membership.me()
     }
 
-    /// The leader's last member list.
+    /// The last member list received from a leader.
     pub fn member_list(&self) -> &MemberList {
         self.leases.member_list()
     }
 
-    /// When this process's member lease expires: until then it may count on being in the member list.
+    /// When this process's member lease expires; until then the process is guaranteed to be in the member
+    /// list.
     pub fn member_lease(&self) -> Option<Micros> {
         self.leases.member_lease(micros())
     }
 
-    /// The term under which this process holds a role at this moment.
+    /// The term under which this process currently holds a role, if it does.
     pub fn holds_lease(&self, role: Role) -> Option<Term> {
         self.leases.holds_lease(micros(), role)
     }
 
-    /// The holder of a role as far as this process knows.
+    /// The holder of a role, to this process's knowledge.
     pub fn role_holder(&self, role: Role) -> Option<ProcessId> {
         let own = self.holds_lease(role).map(|_| self.me());
         own.or_else(|| self.leases.role_holder(role).map(|known| known.holder))
     }
 
-    /// Sends the aggregated loads to all other schedulers, if this process is the aggregator at this moment.
+    /// Sends aggregated loads to all other schedulers if this process currently holds the aggregator's lease.
     pub fn broadcast_aggregated_loads(&mut self, socket: &PeerSocket, text: &str) {
         let Some(term) = self.holds_lease(roles::AGGREGATOR) else {
             self.withheld_aggregates += 1;
             return;
         };
-        // One byte of the datagram states its kind.
+        // The first byte of the datagram is its kind.
         let max_length = MAX_DATAGRAM_LENGTH - 1 - FencingToken::MAX_ENCODED_LENGTH;
         for part in split_aggregated_loads(text, max_length) {
             self.broadcast_fenced(socket, roles::AGGREGATOR, term, part.as_bytes());
         }
     }
 
-    /// Sends a message in a role to all other schedulers. `term`: what [`Cluster::holds_lease`] has just returned.
+    /// Sends a message as the holder of `role` to all other schedulers. `term` must have just been returned
+    /// by [`Cluster::holds_lease`].
     pub fn broadcast_fenced(&self, socket: &PeerSocket, role: Role, term: Term, payload: &[u8]) {
         let token = FencingToken { holder: self.me(), role, term };
         DatagramKind::Fenced.broadcast(socket, &token.encode_message(payload));
--- a/crates/daemon/src/net/cluster/roles.rs
+++ b/crates/daemon/src/net/cluster/roles.rs
@@ -1,22 +1,23 @@
-//! The roles, each with one holder at a time. Their numbers are part of the wire format.
+//! The cluster's roles, each held by at most one scheduler at a time. Their numbers are part of the wire
+//! format.
 
 use brackenledge_leases::Role;
 use brackenledge_protocol::operations::Operations;
 
-/// Adds up the loads of all schedulers and broadcasts the totals, in clusters large enough for that.
+/// Sums up the loads of all schedulers and broadcasts the totals, in clusters large enough to need it.
 pub const AGGREGATOR: Role = 0;
-/// Plans where each zone's work goes, where operators have zone routing on.
+/// Plans how each zone's jobs are distributed over all zones. Exists only if zone routing is enabled.
 pub const ZONE_PLANNER: Role = 1;
 
-/// The roles' names in the log and at the admin endpoint, in order of their numbers.
+/// Role names in the log and at the admin endpoint, by role number.
 const NAMES: [&str; 2] = ["relay", "zones"];
 
-/// A role's name.
+/// The role's name in the log and at the admin endpoint.
 pub fn name(role: Role) -> &'static str {
     NAMES.get(usize::from(role)).copied().unwrap_or("unknown")
 }
 
-/// Number of roles. The zone planner, which has the highest number, exists only where zone routing is on.
+/// Number of roles. Without zone routing there is no zone planner, which has the highest number.
 pub fn count(operations: &Operations) -> Role {
     if operations.zones.enabled { ZONE_PLANNER + 1 } else { ZONE_PLANNER }
 }
--- a/crates/daemon/src/net/discovery.rs
+++ b/crates/daemon/src/net/discovery.rs
@@ -1,5 +1,5 @@
-//! Endpoint discovery on sockets: the driver of the crate `discovery`. It opens the requests that the endpoint directory
-//! asks for, decodes their responses for it, and writes its events to the log.
+//! I/O driver for the endpoint directory of the crate `discovery`: opens the HTTP requests that the directory
+//! commands, decodes their responses, and logs the directory's events.
 
 use super::Context;
 use super::buffered_stream::BufferedStream;
@@ -16,24 +16,25 @@
 use slog::{Logger, info, warn};
 use std::net::SocketAddr;
 
-/// Upper limit of a response's body. Lists are decoded as they arrive, so it bounds only a response that never ends.
+/// Upper limit of a response body in bytes. Lists are decoded as they arrive, so this only stops endless
+/// responses.
 const MAX_LIST_BYTES: usize = 256 * 1024 * 1024;
-/// Most input of a body that is buffered before it is decoded.
+/// Maximum number of body bytes that are buffered before they are decoded.
 const MAX_INPUT_BYTES: usize = 64 * 1024;
 const STATUS_OK: u16 = 200;
-/// The index of a zone or machine kind that the settings do not name.
+/// Index for a zone or machine kind that is missing from the settings.
 const UNKNOWN_PLACEMENT: u32 = u32::MAX;
 
-/// The names of zones and machine kinds, by the indices that stand for them in [`EndpointRecord`].
+/// The configured names of zones and machine kinds, by the indices that [`EndpointRecord`] uses for them.
 pub struct PlacementNames {
-    /// Zones, by index.
+    /// Zone names, by zone index.
     pub zones: Vec<String>,
-    /// Machine kinds, by index.
+    /// Names of machine kinds, by kind index.
     pub kinds: Vec<String>,
 }
 
 impl PlacementNames {
-    /// An entry of the list as the endpoint directory has it.
+    /// Converts an entry of a discovery list to a record of the endpoint directory.
     pub fn endpoint_record(&self, endpoint: Endpoint) -> EndpointRecord {
         EndpointRecord {
             zone: index_of(&self.zones, endpoint.zone.as_deref()),
@@ -53,7 +54,8 @@
     index.map_or(UNKNOWN_PLACEMENT, |index| index as u32)
 }
 
-/// The readiness that a status stands for. An endpoint whose status is unknown must get no new work.
+/// The readiness for a status from discovery. An unrecognized status counts as draining, so that the endpoint
+/// gets no new jobs.
 fn readiness(status: Option<&str>) -> Readiness {
     match status {
         None | Some("ready") => Readiness::Ready,
@@ -62,27 +64,28 @@
     }
 }
 
-/// One request to discovery on its connection: a watch or a poll.
+/// A request to discovery, either a watch or a poll, with its connection.
 struct Request {
     stream: BufferedStream,
     id: RequestId,
     kind: RequestKind,
     is_connecting: bool,
-    /// The response's head, once it has come.
+    /// The response head, once it has been received.
     head: Option<ResponseHead>,
     reader: ListReader,
-    /// How the request ends if its connection ends now.
+    /// The result to report if the connection is closed now.
     end: RequestEnd,
 }
 
 impl Request {
-    /// Sets how the request ends, and closes its connection.
+    /// Sets the result of the request and requests that its connection be closed.
     fn close(&mut self, end: RequestEnd) -> Flow {
         self.end = end;
         Flow::Close
     }
 
-    /// Takes the response's head from the input; `Flow::Close` if it is no success.
+    /// Parses the response head, if it is complete. Returns `Flow::Close` if it is malformed or its status is
+    /// not 200.
     fn read_head(&mut self, cx: &mut Context) -> Flow {
         match ResponseHead::take(&mut self.stream.buffer, MAX_LIST_BYTES) {
             Ok(Some(head)) if head.status == STATUS_OK => {
@@ -96,7 +99,7 @@
         }
     }
 
-    /// Reads the body as far as it has come.
+    /// Decodes the part of the body that has been received.
     fn read_body(&mut self, cx: &mut Context) -> Flow {
         let Some(head) = &mut self.head else { return Flow::Keep };
         let Ok(body_ended) = head.body.advance(&mut self.stream.buffer) else {
@@ -152,7 +155,7 @@
         self.read_body(cx)
     }
 
-    // All entries that arrived before the end have been decoded.
+    // Nothing is left to decode: `on_input` has decoded everything that was received.
     fn on_end(&mut self, _: &mut Context) {}
 
     fn max_input(&self) -> usize {
@@ -160,11 +163,11 @@
     }
 }
 
-/// The connections to the discovery service: they carry the requests that the endpoint directory asks for.
+/// The open requests to the discovery service, each on its own connection.
 pub struct DiscoveryConnections {
     address: SocketAddr,
     requests: Slab<Request>,
-    /// When the earliest alarm for the endpoint directory is due.
+    /// Due time of the earliest alarm set for the endpoint directory; infinity if none is set.
     armed_for: Millis,
 }
 
@@ -173,14 +176,14 @@
         DiscoveryConnections { address, requests: Slab::new(), armed_for: Millis::INFINITY }
     }
 
-    /// Discovery has a new address: a watch is opened there at once, from the revision that is held. The service at the old
-    /// address is expected to end its requests.
+    /// Applies a new address of discovery: a watch is opened there at once, starting from the revision that
+    /// is held. The service at the old address is expected to end the requests that are open there.
     pub fn set_address(&mut self, address: SocketAddr, cx: &mut Context) {
         self.address = address;
         cx.endpoints.handle_address_change(cx.now);
     }
 
-    /// Opens a request.
+    /// Opens a request. `since_revision` is the revision from which a watch continues; polls ignore it.
     pub fn open_request(&mut self, id: RequestId, kind: RequestKind, since_revision: u64, cx: &mut Context) {
         if self.connect(id, kind, since_revision, cx).is_err() {
             cx.endpoints.handle_request_end(cx.now, id, RequestEnd::NoConnection);
@@ -218,14 +221,14 @@
         Ok(())
     }
 
-    /// Closes the connection of a request that is not wanted any more.
+    /// Closes the connection of a request without reporting its end to the endpoint directory.
     pub fn cancel_request(&mut self, id: RequestId, cx: &mut Context) {
         if let Some(at) = self.requests.iter().find(|(_, request)| request.id == id).map(|(at, _)| at) {
             cx.event_loop.deregister(&mut self.requests.remove(at).stream.socket);
         }
     }
 
-    /// The poll reports an event of a request's connection.
+    /// Handles a readiness event of the connection in slot `at`.
     pub fn on_ready(&mut self, at: usize, cx: &mut Context) {
         let Some(request) = self.requests.get_mut(at) else { return };
         match drive(request, cx) {
@@ -239,7 +242,7 @@
         }
     }
 
-    /// The endpoint directory's alarm is due.
+    /// Handles an alarm set by [`DiscoveryConnections::arm`].
     pub fn on_alarm(&mut self, cx: &mut Context) {
         if cx.now >= self.armed_for {
             self.armed_for = Millis::INFINITY;
@@ -247,7 +250,7 @@
         cx.endpoints.handle_timeout(cx.now);
     }
 
-    /// Sets an alarm for the endpoint directory's next timeout, unless one is set for then or earlier.
+    /// Sets an alarm for the endpoint directory's next timeout, unless one is set for that time or earlier.
     pub fn arm(&mut self, cx: &mut Context) {
         let next = cx.endpoints.next_timeout();
         if next < self.armed_for {
@@ -257,7 +260,7 @@
     }
 }
 
-/// Writes an event of the endpoint directory to the log. Fields are printed in the reverse order.
+/// Logs an event of the endpoint directory. The logger prints fields in reverse order of their declaration.
 pub fn log_event(log: &Logger, event: Event) {
     match event {
         Event::EndpointStatusChanged(change) => info!(log, "endpoint_status_changed";
--- a/crates/daemon/src/net/job_failover/admin.rs
+++ b/crates/daemon/src/net/job_failover/admin.rs
@@ -1,11 +1,12 @@
-//! Figures for the admin endpoint, and log events.
+//! Counters and gauges of failover for the admin endpoint, and its log events.
 
 use super::{JobFailover, micros};
 use brackenledge_failover::Event;
 use slog::{Logger, info};
 
 impl JobFailover {
-    /// Lines `handover.NAME=NUMBER`: records by class and state, and counters since the start of the process.
+    /// Lines of the form `handover.NAME=NUMBER`: job records by class and state, then totals. Counters start
+    /// from zero when the process starts.
     pub fn figures(&self, classes: &[String]) -> Vec<String> {
         let mut lines = Vec::new();
         for (class, name) in classes.iter().enumerate().filter(|(at, _)| self.class_options[*at].is_some()) {
@@ -39,7 +40,7 @@
     }
 }
 
-/// Writes an event to the log.
+/// Logs an event of the failover state machine.
 pub fn log_event(log: &Logger, event: Event) {
     match event {
         Event::ExcludedFromMembers { term, lost_jobs } => {
--- a/crates/daemon/src/net/job_failover/attempts.rs
+++ b/crates/daemon/src/net/job_failover/attempts.rs
@@ -1,4 +1,4 @@
-//! The engine's attempts, which leave once the state machine permits it.
+//! Attempts of the engine, each held back until the failover state machine permits it to be sent.
 
 use super::{JobFailover, micros, to_micros};
 use crate::net::backend::Attempt;
@@ -7,7 +7,7 @@
 use brackenledge_failover::JobKey;
 
 impl JobFailover {
-    /// Submits an attempt of the engine's; returned if it may leave now, otherwise it is held.
+    /// Submits an attempt of the engine. Returns it if it may be sent now; otherwise holds it.
     pub fn submit_attempt(&mut self, now: Millis, attempt: Attempt, worker: &str) -> Option<Attempt> {
         let Attempt { id, ref request, deadlines, .. } = attempt;
         let Some(key) = self.keys.get(&id.job).filter(|_| request.reports_attempts) else {
@@ -26,24 +26,24 @@
         Some(AttemptId { job: *self.jobs.get(key)?, attempt: attempt as usize })
     }
 
-    /// A held attempt may leave now.
+    /// Returns a held attempt that may be sent now.
     pub fn release_attempt(&mut self, key: &JobKey, attempt: u32) -> Option<Attempt> {
         let id = self.id_of(key, attempt)?;
         self.held_attempts.remove(&id)
     }
 
-    /// A held attempt will never leave; its number in the engine, if it was held.
+    /// Discards a held attempt that must not be sent. Returns its id in the engine, if it was held.
     pub fn drop_attempt(&mut self, key: &JobKey, attempt: u32) -> Option<AttemptId> {
         let id = self.id_of(key, attempt)?;
         self.held_attempts.remove(&id).map(|_| id)
     }
 
-    /// The engine cancels an attempt; whether it was held here.
+    /// Discards an attempt that the engine cancels. Returns whether it was held here, and so was not sent.
     pub fn cancel_attempt(&mut self, id: AttemptId) -> bool {
         self.held_attempts.remove(&id).is_some()
     }
 
-    /// An attempt has ended.
+    /// Handles the end of an attempt. `never_ran`: the worker certainly did not execute it.
     pub fn attempt_ended(&mut self, id: AttemptId, never_ran: bool) {
         self.held_attempts.remove(&id);
         if let Some(key) = self.keys.get(&id.job).filter(|_| never_ran) {
--- a/crates/daemon/src/net/job_failover/mod.rs
+++ b/crates/daemon/src/net/job_failover/mod.rs
@@ -1,10 +1,11 @@
-//! Failover of jobs, between the frontend, the engine and the links to other schedulers: drives the state machine of
-//! `brackenledge-failover` and carries out its commands.
+//! Driver for the job failover state machine of `brackenledge-failover`. It sits between the frontend, the
+//! engine and the links to other schedulers; `commands` executes the state machine's commands.
 //!
-//! The frontend submits a job of a replicated class here instead of to the engine; the state machine commands
-//! its start, and the engine then gets it like any other. The engine's attempts pass here on their way to the backend:
-//! those that must be acknowledged first wait for it. The engine's answer comes back here, for all clients that wait for
-//! the job. Times are microseconds on the cluster's clock, unless they are `Millis` of the event loop.
+//! The frontend submits jobs of replicated classes here instead of to the engine. When the state machine
+//! commands a job to start, the job is submitted to the engine like any other. Attempts of the engine pass
+//! through here on their way to the backend; those that replicas must acknowledge first are held until then.
+//! The engine's answer is passed here too, and is sent to every client that waits for the job. Times are
+//! microseconds on the cluster's clock, except those of type `Millis`, which belong to the event loop.
 
 mod admin;
 mod attempts;
@@ -28,22 +29,22 @@
 use std::collections::HashMap;
 use std::sync::Arc;
 
-/// The client of a job in the engine whose clients are known here alone.
+/// Client id that the engine gets for replicated jobs. Their clients are known only to [`JobFailover`].
 const NO_CLIENT: ClientId = usize::MAX;
 
-/// How the jobs of a replicated class are treated.
+/// Options of a replicated class.
 #[derive(Clone, Copy)]
 struct ClassOptions {
     effect: Effect,
-    /// Its jobs are rejected rather than run without replicas.
+    /// Whether jobs are rejected if they can't be replicated, instead of being run without replicas.
     requires_replication: bool,
 }
 
-/// A job that the engine holds for the state machine.
+/// A replicated job that the engine is to drop.
 pub struct EngineJob {
-    /// Its number in the engine.
+    /// Its id in the engine.
     pub id: JobId,
-    /// Its attempts that have not left yet.
+    /// Its attempts that were held and had not been sent.
     pub held_attempts: Vec<AttemptId>,
 }
 
@@ -52,22 +53,24 @@
     failover: Failover,
     local: ProcessId,
     zone: u32,
-    /// By class; `None`: its jobs are not replicated.
+    /// By class number; `None` for classes whose jobs are not replicated.
     class_options: Vec<Option<ClassOptions>>,
     sessions: PeerSessions,
-    /// The engine's numbers of the jobs that it holds for us, and the way back.
+    /// Engine ids of the replicated jobs that the engine holds.
     jobs: HashMap<JobKey, JobId>,
+    /// The inverse of `jobs`.
     keys: HashMap<JobId, JobKey>,
-    /// Attempts that wait for acknowledgement.
+    /// Attempts that may not be sent yet, since replicas have not acknowledged them.
     held_attempts: HashMap<AttemptId, Attempt>,
+    /// The clients that wait for the outcome of a job.
     clients: HashMap<Waiter, ClientId>,
     last_waiter: Waiter,
-    /// Frames that violated the protocol.
+    /// Number of frames that violated the protocol.
     pub protocol_errors: u64,
 }
 
 impl JobFailover {
-    /// `classes`: names and effects, by number.
+    /// `classes`: name and effect of each class, by class number. `local`: this process.
     pub fn new(
         options: &FailoverOptions,
         local: ProcessId,
@@ -102,11 +105,12 @@
         }
     }
 
-    /// Applies the cluster's member list and our member lease.
+    /// Applies the cluster's latest member list and this process's member lease.
     pub fn sync(&mut self, cluster: &Cluster) {
         let now = micros();
         if cluster.me() != self.local {
-            // We were replaced, and are back: to the others we are another process.
+            // This process was superseded and has rejoined with a new incarnation, which peers treat as
+            // another process.
             self.local = cluster.me();
             self.failover.restart_as(self.local);
             self.sessions.clear();
@@ -118,7 +122,7 @@
         self.failover.set_member_lease(now, cluster.member_lease().unwrap_or(0));
     }
 
-    /// Handles what is due by now.
+    /// Handles all due timeouts, releases batched messages and updates which peers lag.
     pub fn handle_timeout(&mut self) {
         let now = micros();
         self.failover.handle_timeout(now);
@@ -128,17 +132,18 @@
         }
     }
 
-    /// The next command to be carried out.
+    /// The next command to execute, if any.
     pub fn poll_command(&mut self) -> Option<Command> {
         self.failover.poll_command()
     }
 
-    /// Graceful shutdown: transfers the jobs that were not sent to a worker; returns how many.
+    /// Transfers all jobs that were not sent to a worker to other schedulers, at a graceful shutdown. Returns
+    /// their number.
     pub fn transfer_all(&mut self) -> usize {
         self.failover.transfer_all(micros())
     }
 
-    /// Whether a job that a client submits is to be replicated.
+    /// Whether a submitted job is to be replicated: its class is, and it has an idempotency key.
     pub fn handles(&self, submitted: &JobRequest) -> bool {
         submitted.request.idempotency_key.is_some() && self.options_of(submitted.job.class).is_some()
     }
@@ -147,7 +152,7 @@
         self.class_options.get(class).copied().flatten()
     }
 
-    /// A client submits a job, for the first time or again.
+    /// Submits a client's job. The same job may have been submitted before, here or at another scheduler.
     pub fn submit(&mut self, submitted: JobRequest) -> Waiter {
         let JobRequest { client, job, request } = submitted;
         self.last_waiter += 1;
@@ -170,24 +175,25 @@
         waiter
     }
 
-    /// A client has disconnected.
+    /// The client disconnected before it got its answer.
     pub fn client_disconnected(&mut self, waiter: Waiter) {
         if self.clients.remove(&waiter).is_some() {
             self.failover.client_disconnected(micros(), waiter);
         }
     }
 
-    /// The client that waits, once: it gets its answer now.
+    /// Removes and returns a waiting client, which is to be answered now.
     pub fn take_client(&mut self, waiter: Waiter) -> Option<ClientId> {
         self.clients.remove(&waiter)
     }
 
-    /// Clients that wait here and whose jobs the engine does not hold.
+    /// Number of waiting clients whose jobs the engine does not hold, counted as the clients in excess of the
+    /// replicated jobs in the engine.
     pub fn waiting_clients(&self) -> usize {
         self.clients.len().saturating_sub(self.keys.len())
     }
 
-    /// The job as the engine takes it; `None`: its payload can't be decoded.
+    /// Converts the payload of a job record to a job for the engine. Returns `None` if it can't be decoded.
     pub fn decode_job(&self, key: &JobKey, payload: &[u8], deadline: Micros) -> Option<JobRequest> {
         let effect = self.options_of(usize::from(key.class)).map(|options| options.effect);
         let context = JobContext {
@@ -201,18 +207,18 @@
         Some(JobRequest { client: NO_CLIENT, job, request })
     }
 
-    /// The engine has taken the job under this number.
+    /// The engine has admitted the job under this id.
     pub fn job_admitted(&mut self, key: JobKey, job: JobId) {
         self.keys.insert(job, key.clone());
         self.jobs.insert(key, job);
     }
 
-    /// The engine can't take the job.
+    /// The engine did not admit the job, which ends with this outcome.
     pub fn job_not_admitted(&mut self, key: &JobKey, outcome: JobOutcome) {
         self.failover.job_finished(micros(), key, outcome);
     }
 
-    /// The engine answers a job; `false`: it is not one that it holds for us.
+    /// Handles the engine's answer to a job. Returns `false` if the job is not a replicated one.
     pub fn job_answered(&mut self, job: JobId, answer: &Answer) -> bool {
         let Some(key) = self.keys.remove(&job) else { return false };
         self.jobs.remove(&key);
@@ -227,7 +233,8 @@
         true
     }
 
-    /// We may not run a job any more: removes it, and returns what the engine is to drop.
+    /// Removes a job that this scheduler may no longer run. Returns the job for the engine to drop, if the
+    /// engine has it.
     pub fn revoke(&mut self, key: &JobKey) -> Option<EngineJob> {
         let id = self.jobs.remove(key)?;
         self.keys.remove(&id);
@@ -240,12 +247,13 @@
     }
 }
 
-/// An earlier owner's attempt as the engine takes it: as old as it can be, so that a retry is not written too late.
+/// Converts an earlier owner's attempt for the engine. The engine gets the attempt's maximum possible age, so
+/// that it does not send a retry too late.
 pub fn prior_execution(worker: WorkerId, max_age: Micros) -> PriorExecution {
     PriorExecution { worker, age: to_millis(max_age) }
 }
 
-/// The engine's answer to a client.
+/// Converts the outcome of a job to the answer for its clients.
 pub fn answer_of(outcome: &JobOutcome) -> Answer {
     match outcome {
         JobOutcome::Served(result) => Answer::Served(String::from_utf8_lossy(result).into_owned()),
--- a/crates/daemon/src/net/job_failover/replicated_job.rs
+++ b/crates/daemon/src/net/job_failover/replicated_job.rs
@@ -1,11 +1,12 @@
-//! The payload of a job's record: all that another scheduler needs to run the job.
+//! The payload of a job record: everything that another scheduler needs to run the job.
 
 use brackenledge_engine::Request;
 use brackenledge_policy::{Effect, JobId, NewJob};
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 
-/// A job as its replicas hold it. The order of the fields is the wire format (`postcard`).
+/// The replicated part of a job. It is encoded with `postcard`, so the order of its fields is the wire
+/// format.
 #[derive(Serialize, Deserialize)]
 pub(super) struct ReplicatedJob {
     pub(super) id: String,
@@ -19,17 +20,18 @@
     pub(super) body: Vec<u8>,
 }
 
-/// What a replicated job does not carry: the key of its record has it, or the scheduler that runs it decides it.
+/// Properties of a job outside its payload: they come from the key of its record or are determined by the
+/// scheduler that runs the job.
 pub(super) struct JobContext<'a> {
     pub(super) class: u16,
     pub(super) tenant: u16,
     pub(super) idempotency_key: &'a str,
     pub(super) effect: Effect,
-    /// Time to its deadline, in milliseconds.
+    /// Time until its deadline, in milliseconds.
     pub(super) time_left: f64,
 }
 
-/// The job's id before the engine has given it one.
+/// Placeholder for the job's id until the engine assigns one.
 const UNASSIGNED: JobId = 0;
 
 impl ReplicatedJob {
@@ -55,7 +57,7 @@
         postcard::from_bytes(payload)
     }
 
-    /// The job and its request as the engine takes them.
+    /// Converts to the job and request that are submitted to the engine.
     pub(super) fn into_engine_job(self, context: &JobContext) -> (NewJob, Request) {
         let job = NewJob {
             id: UNASSIGNED,
--- a/crates/daemon/src/net/job_failover/tests.rs
+++ b/crates/daemon/src/net/job_failover/tests.rs
@@ -1,11 +1,13 @@
-//! The bytes of a job as its replicas hold it, pinned: a scheduler of another build must be able to take it over. The
-//! expected bytes were written by the build of commit 72e1d57.
+//! Compatibility between builds: a scheduler of another build must be able to decode and take over a
+//! replicated job, so its encoding is fixed. The expected bytes were written by the build of commit 72e1d57.
+//! The names of failover's figures at the admin endpoint are fixed too.
 
 use super::*;
 use brackenledge_test_support::hex;
 
-/// What is written has exactly these bytes, and these bytes are read and written as the same.
-fn pinned(job: &ReplicatedJob, bytes: &str) -> ReplicatedJob {
+/// Checks that the job is encoded as exactly these bytes, and that they decode to a job with the same
+/// encoding.
+fn assert_encoded_as(job: &ReplicatedJob, bytes: &str) -> ReplicatedJob {
     let written = postcard::to_allocvec(job).expect("bytes");
     assert_eq!(hex::encode(&written), bytes);
     let read: ReplicatedJob = postcard::from_bytes(&hex::decode(bytes)).expect("a job");
@@ -14,7 +16,7 @@
 }
 
 #[test]
-fn a_job_with_all_it_may_carry_has_these_bytes() {
+fn job_with_all_optional_fields_has_fixed_encoding() {
     let job = ReplicatedJob {
         id: "trace-1".into(),
         target: "/v1/sale?x=2".into(),
@@ -26,7 +28,7 @@
         is_retry: true,
         body: b"body\x00\xff".to_vec(),
     };
-    let read = pinned(
+    let read = assert_encoded_as(
         &job,
         "0774726163652d310c2f76312f73616c653f783d3201106170706c69636174696f6e2f6a736f6e010a616666696e6974792d33010000000000000440000000000000f43f00000000000084400106626f647900ff",
     );
@@ -39,7 +41,7 @@
 }
 
 #[test]
-fn a_job_without_what_is_optional_has_these_bytes() {
+fn job_without_optional_fields_has_fixed_encoding() {
     let job = ReplicatedJob {
         id: "t".into(),
         target: "/".into(),
@@ -51,15 +53,15 @@
         is_retry: false,
         body: Vec::new(),
     };
-    let read = pinned(&job, "0174012f000000000000000000f03f00000000000000000000");
+    let read = assert_encoded_as(&job, "0174012f000000000000000000f03f00000000000000000000");
     assert_eq!((read.content_type, read.affinity_key, read.effort), (None, None, None));
     assert_eq!((read.slots, read.memory, read.is_retry), (1.0, 0.0, false));
     assert!(read.body.is_empty());
 }
 
-/// Operators' scripts read these figures: names and order stay.
+/// Operators' scripts parse these figures, so their names and order must not change.
 #[test]
-fn the_figures_have_these_names() {
+fn figures_have_fixed_names() {
     let options = FailoverOptions {
         enabled: true,
         replicated_classes: vec!["sale".into()],
--- a/crates/daemon/src/net/peer_dispatch.rs
+++ b/crates/daemon/src/net/peer_dispatch.rs
@@ -1,10 +1,10 @@
-//! Hands the datagrams of other schedulers to the cluster, zone routing, discovery or the engine.
+//! Dispatches datagrams from other schedulers to the cluster, zone routing, discovery or the engine.
 
 use super::Context;
 use super::cluster::Received;
 use super::peer_socket::{PeerSocket, ReceiveBuffer};
 
-/// Reads all datagrams that have arrived, and hands each to the part that it is for.
+/// Reads all datagrams that have arrived, and dispatches each to the component that it is addressed to.
 pub fn dispatch_datagrams(socket: &PeerSocket, cx: &mut Context) {
     let mut buffer = ReceiveBuffer::new();
     while let Some((from, datagram)) = socket.receive(&mut buffer) {
@@ -25,7 +25,8 @@
     }
 }
 
-/// A text is gossip for discovery, or a load message for the engine. A datagram that is not UTF-8 is ignored.
+/// Dispatches a text message: gossip to discovery, anything else to the engine. Datagrams that are not UTF-8
+/// are ignored.
 fn dispatch_text(from: u16, datagram: &[u8], cx: &mut Context) {
     let Ok(text) = std::str::from_utf8(datagram) else { return };
     if !cx.endpoints.handle_message(cx.now, from, text) {
--- a/crates/daemon/src/net/peer_links.rs
+++ b/crates/daemon/src/net/peer_links.rs
@@ -1,6 +1,6 @@
-//! Connections between schedulers, for messages that do not fit a datagram. Of two schedulers the one with the lower
-//! ordinal connects, and connects again after a connection was lost. The sessions of `brackenledge-failover` retransmit
-//! on the new connection what had not arrived.
+//! TCP connections between schedulers, for messages that do not fit in a datagram. Of two schedulers, the one
+//! with the lower ordinal connects, and reconnects after a connection was lost. The sessions of
+//! `brackenledge-failover` retransmit on the new connection the messages that had not arrived.
 
 use super::Context;
 use super::buffered_stream::BufferedStream;
@@ -13,15 +13,17 @@
 use slab::Slab;
 use std::net::SocketAddr;
 
-/// Bytes of output beyond which no further frame is encoded. Frames that the peer has not room for wait in its session.
+/// Number of buffered output bytes from which on no further frame is encoded. Until the peer reads on, its
+/// frames stay in its session.
 const MAX_OUTPUT: usize = 256 * 1024;
-/// Room for input beyond one frame of the greatest length, in bytes.
+/// Capacity of the input buffer beyond one frame of maximum length, in bytes.
 const INPUT_MARGIN: usize = 64 * 1024;
-/// Time between two attempts to connect to a peer, in milliseconds.
+/// Minimum time between two attempts to connect to the same peer, in milliseconds.
 const RECONNECT_INTERVAL: Millis = 200.0;
-/// A connection whose peer has not identified itself by then is closed.
+/// A connection whose peer has not identified itself within this time, in milliseconds, is closed.
 const IDENTIFICATION_TIMEOUT: Millis = 1_000.0;
-/// Most connections beyond one for each scheduler, for peers that have not identified themselves yet.
+/// Maximum number of connections in addition to one per scheduler, for peers that have not identified
+/// themselves yet.
 const MAX_UNIDENTIFIED: usize = 16;
 /// The byte that ends each frame.
 const FRAME_END: u8 = 0;
@@ -31,7 +33,7 @@
 enum CloseReason {
     /// The frame violates the protocol.
     ProtocolError,
-    /// A newer process has the peer's ordinal, or failover is off.
+    /// The session is with a later incarnation of the peer or was discarded, or failover is disabled.
     Obsolete,
 }
 
@@ -48,15 +50,15 @@
 struct PeerConnection {
     stream: BufferedStream,
     is_connecting: bool,
-    /// When it was dialed or accepted.
+    /// When this process started to connect, or accepted the connection.
     opened_at: Millis,
-    /// The ordinal that we connected to; `None`: the peer connected.
+    /// The ordinal that this process connected to; `None` if the connection was accepted.
     dialed: Option<u16>,
     /// The peer, once it has identified itself.
     peer: Option<ProcessId>,
-    /// Number of schedulers in the settings.
+    /// Number of schedulers in the configuration.
     cluster_size: usize,
-    /// Our own identity when the connection was made.
+    /// The identity of this process when the connection was opened.
     local: ProcessId,
 }
 
@@ -84,14 +86,14 @@
         if !is_other || self.dialed.is_some_and(|dialed| dialed != from.ordinal) {
             return Err(CloseReason::ProtocolError);
         }
-        // Of two processes with one ordinal only the newer one is accepted.
+        // Of two processes with the same ordinal, only the one with the later incarnation is accepted.
         let resume = job_failover.accept_peer(from, zone).ok_or(CloseReason::Obsolete)?;
         self.peer = Some(from);
         self.send(&resume);
         Ok(())
     }
 
-    /// The next whole frame's bytes, removed from the input.
+    /// Removes the next complete frame from the input and returns its bytes.
     fn next_input_frame(&mut self) -> Option<Vec<u8>> {
         let input = self.stream.buffer.input();
         let end = input.iter().position(|&byte| byte == FRAME_END)?;
@@ -141,29 +143,30 @@
 /// The listener and all connections with other schedulers.
 pub struct PeerLinks {
     listener: TcpListener,
-    /// Where each scheduler listens, by ordinal.
+    /// The address at which each scheduler listens, by ordinal.
     addresses: Vec<SocketAddr>,
     local_ordinal: u16,
     connections: Slab<PeerConnection>,
-    /// When each peer was last connected to, by ordinal.
+    /// When the last attempt to connect to each peer began, by ordinal.
     last_attempts: Vec<Millis>,
 }
 
 impl PeerLinks {
-    /// Links on a listener that is bound already. `addresses`: where each scheduler listens, by ordinal.
+    /// `listener` is already bound. `addresses`: the address at which each scheduler listens, by ordinal.
     pub fn new(listener: TcpListener, addresses: Vec<SocketAddr>, local_ordinal: u16) -> PeerLinks {
         let last_attempts = vec![f64::NEG_INFINITY; addresses.len()];
         PeerLinks { listener, addresses, local_ordinal, connections: Slab::new(), last_attempts }
     }
 
-    /// The listener, for the poll.
+    /// The listener, for registration with the event loop.
     pub fn listener(&mut self) -> &mut TcpListener {
         &mut self.listener
     }
 
-    /// Accepts the connections that wait.
+    /// Accepts all pending connections.
     pub fn accept(&mut self, cx: &mut Context) {
-        // Out of descriptors, connections wait until the next one comes: a peer that gets no answer connects again.
+        // If descriptors run out, pending connections stay in the backlog until the next one arrives. A peer
+        // that gets no response in time reconnects.
         while let Ok(Some(stream)) = accept_next(&self.listener) {
             if self.connections.len() < self.addresses.len() + MAX_UNIDENTIFIED {
                 self.open(stream, None, cx);
@@ -171,7 +174,7 @@
         }
     }
 
-    /// Opens a connection on a stream that was accepted, or dialed to the ordinal `dialed`.
+    /// Adds a connection for a stream that was accepted, or that connects to the ordinal `dialed`.
     fn open(&mut self, stream: TcpStream, dialed: Option<u16>, cx: &mut Context) {
         let Some(job_failover) = cx.job_failover else { return };
         let is_connecting = dialed.is_some();
@@ -193,7 +196,7 @@
         }
     }
 
-    /// The poll reports an event of a connection.
+    /// Handles a readiness event of the connection in slot `at`.
     pub fn on_ready(&mut self, at: usize, cx: &mut Context) {
         let Some(connection) = self.connections.get_mut(at) else { return };
         let was_identified = connection.peer.is_some();
@@ -208,7 +211,8 @@
         }
     }
 
-    /// A peer has identified itself on its newest connection: the one before, if any, is lost, noticed or not.
+    /// Removes the previous connection of a peer that has identified itself on a new one. The previous
+    /// connection is lost, even if no error was reported for it.
     fn replace_connection(&mut self, peer: ProcessId, newest: usize, cx: &mut Context) {
         let is_same_peer =
             |connection: &PeerConnection| connection.peer.is_some_and(|other| other.ordinal == peer.ordinal);
@@ -219,14 +223,14 @@
         }
     }
 
-    /// Closes connections that are of no use, and connects to peers that are not connected.
+    /// Closes obsolete connections, and connects to peers without one.
     pub fn handle_timeout(&mut self, cx: &mut Context) {
         let Some(local) = cx.job_failover.as_ref().map(JobFailover::local) else { return };
         self.close_obsolete(local, cx);
         self.connect_missing(cx);
     }
 
-    /// Closes connections whose peers did not identify themselves in time, and those that were opened under an earlier
+    /// Closes connections whose peer did not identify itself in time, and those opened under an earlier
     /// incarnation of this process.
     fn close_obsolete(&mut self, local: ProcessId, cx: &mut Context) {
         let is_obsolete = |connection: &PeerConnection| {
@@ -239,7 +243,7 @@
         obsolete.into_iter().for_each(|at| self.close(at, cx));
     }
 
-    /// Connects to the schedulers of higher ordinals that are not connected.
+    /// Connects to each scheduler with a higher ordinal to which there is no connection.
     fn connect_missing(&mut self, cx: &mut Context) {
         for peer in (self.local_ordinal + 1)..self.addresses.len() as u16 {
             let is_dialed = self.connections.iter().any(|(_, connection)| connection.dialed == Some(peer));
@@ -254,7 +258,7 @@
         }
     }
 
-    /// Encodes and writes the frames that wait, as far as the peers read them.
+    /// Encodes and writes pending frames, as far as the output buffers and sockets accept them.
     pub fn flush(&mut self, cx: &mut Context) {
         let mut closed = Vec::new();
         for (at, connection) in self.connections.iter_mut() {
@@ -274,12 +278,12 @@
         closed.into_iter().for_each(|at| self.close(at, cx));
     }
 
-    /// Whether all output is written.
+    /// Whether the output buffers of all connections are empty.
     pub fn is_flushed(&self) -> bool {
         self.connections.iter().all(|(_, connection)| connection.stream.buffer.output().is_empty())
     }
 
-    /// Closes a connection, and tells failover that the peer has no link.
+    /// Closes a connection, and reports to failover that the peer has no link.
     fn close(&mut self, at: usize, cx: &mut Context) {
         if let (Some(peer), Some(job_failover)) = (self.connections[at].peer, cx.job_failover.as_mut()) {
             job_failover.link_closed(peer);
@@ -287,7 +291,8 @@
         self.remove(at, cx);
     }
 
-    /// Closes a connection without telling failover, for which the peer's link goes on.
+    /// Closes a connection without reporting it to failover, for which the peer's link continues on another
+    /// connection.
     fn remove(&mut self, at: usize, cx: &mut Context) {
         let mut connection = self.connections.remove(at);
         cx.event_loop.deregister(&mut connection.stream.socket);
--- a/crates/daemon/src/net/peer_socket/tests.rs
+++ b/crates/daemon/src/net/peer_socket/tests.rs
@@ -1,4 +1,5 @@
-//! The ports of sockets for datagrams: one that the system chooses is this socket's alone, until another asks for it.
+//! Ports of peer sockets: a port that the system chooses is not shared, unless another socket binds it
+//! explicitly.
 
 use super::*;
 use std::collections::HashSet;
@@ -8,7 +9,7 @@
     PeerSocket::bind(config, 0).expect("a port")
 }
 
-fn port_of_the_systems() -> SocketAddr {
+fn system_chosen_port() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -17,17 +18,18 @@
 }
 
 #[test]
-fn a_port_that_the_system_chooses_is_no_other_sockets() {
-    // Chosen at random among some 28000 ports, that many would have about 11 pairs.
+fn sockets_with_system_chosen_ports_share_no_port() {
+    // If ports were chosen independently among about 28000, this many sockets would have about 11 pairs with
+    // the same port.
     const SOCKETS: usize = 800;
-    let sockets: Vec<PeerSocket> = (0..SOCKETS).map(|_| bind(port_of_the_systems())).collect();
+    let sockets: Vec<PeerSocket> = (0..SOCKETS).map(|_| bind(system_chosen_port())).collect();
     let distinct: HashSet<SocketAddr> = sockets.iter().map(address_of).collect();
     assert_eq!(distinct.len(), SOCKETS);
 }
 
 #[test]
-fn a_process_that_replaces_this_one_binds_the_same_port() {
-    let first = bind(port_of_the_systems());
+fn replacement_processes_can_bind_the_same_port() {
+    let first = bind(system_chosen_port());
     let second = bind(address_of(&first));
     let third = bind(address_of(&second));
     assert_eq!(address_of(&third), address_of(&first));
--- a/crates/daemon/src/net/zone_routing.rs
+++ b/crates/daemon/src/net/zone_routing.rs
@@ -1,13 +1,14 @@
-//! Zone routing on sockets: reports observed load to the leader of the planning role, plans while this scheduler is that
-//! leader, and turns the plan in effect into route costs for the policy.
+//! Driver for zone routing. Each scheduler reports its observed load to the holder of the zone planner role,
+//! called the leader here. The leader makes plans and publishes them, and each scheduler converts the plan in
+//! effect to route costs for the policy.
 //!
-//! **Invariant.** A plan is published only under a role lease that is held at that moment, and followed only if no newer
-//! version is known. Times are Unix milliseconds, by the clock that all machines read.
+//! **Invariant.** A plan is published only while the role lease is held, and followed only if no newer
+//! version is known. Times are Unix milliseconds of the system clock.
 //!
-//! | message | from, to | lost | stale or malformed |
+//! | message | sent | if lost | if stale or malformed |
 //! | --- | --- | --- | --- |
-//! | zone report, a datagram each second | every scheduler, to the leader | the one before it counts until its TTL | malformed ones are counted |
-//! | plan, under the leader's fencing token | the leader, to all | published again within half a second | stale ones are counted and ignored |
+//! | zone report | all to leader, each second | the previous one counts until its TTL | malformed: counted |
+//! | plan with fencing token | leader to all | sent again within half a second | counted, ignored |
 
 mod observations;
 mod plan_leader;
@@ -30,40 +31,40 @@
 };
 use slog::{Logger, info};
 
-/// Time between two calls of [`ZoneRouting::handle_timeout`]: a new plan is published, and new route costs take effect,
-/// no later than this.
+/// Interval between calls of [`ZoneRouting::handle_timeout`]. It bounds the delay until a new plan is
+/// published and until new route costs take effect.
 pub const TICK_INTERVAL: Millis = 250.0;
-/// Time between two reports of observed load.
+/// Interval between two reports of observed load.
 const REPORT_INTERVAL: Millis = 1_000.0;
-/// How long a plan that is not received again stays in effect: longer than it takes to elect another leader.
+/// How long a plan stays in effect after it was last received. Longer than it takes to elect another leader.
 const PLAN_TTL: WholeMillis = 8_000;
 
-/// The time in the whole milliseconds that the crate `zone-routing` counts.
+/// Converts the event loop's time to the whole milliseconds of the crate `zone-routing`.
 fn whole_millis(now: Millis) -> WholeMillis {
     now as WholeMillis
 }
 
-/// What this scheduler routes by.
+/// What this scheduler's routing is based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum RoutingSource {
-    /// The leader's plan.
+    /// A plan that is in effect.
     Plan,
-    /// Its own observations.
+    /// Only what this scheduler observes itself, for lack of a plan in effect.
     OwnObservations,
 }
 
-/// Counts since the start.
+/// Counters since the process started.
 #[derive(Default)]
 struct Counts {
-    /// Plans that were ignored, since a newer version was known.
+    /// Received plans that were ignored because a newer version was known.
     stale_plans: u64,
-    /// Messages that are no plan or report.
+    /// Plans and reports that could not be decoded or do not match the configured zones.
     malformed: u64,
-    /// Plans made here.
+    /// Plans made by this scheduler as the leader.
     plans_made: u64,
 }
 
-/// One scheduler's part in zone routing.
+/// The state of zone routing in one scheduler.
 pub struct ZoneRouting {
     zone_names: Vec<String>,
     local_zone: usize,
@@ -72,14 +73,14 @@
     leader: PlanLeader,
     follower: PlanFollower,
     cost_model: RouteCostModel,
-    /// The costs that the policy was given last.
+    /// The costs that were last returned for the policy.
     route_costs: Vec<f64>,
     source: RoutingSource,
     counts: Counts,
 }
 
 impl ZoneRouting {
-    /// `zone_names`: the settings' zones, in order.
+    /// `zone_names`: the configured zones, by zone index.
     pub fn new(
         options: &ZoneOptions,
         zone_names: Vec<String>,
@@ -100,14 +101,14 @@
         }
     }
 
-    /// An attempt is sent to a worker in this zone.
+    /// An attempt is sent to a worker in this zone; `None` if the worker's zone is unknown.
     pub fn on_attempt_started(&mut self, zone: Option<u32>) {
         if let Some(zone) = zone {
             self.cost_model.on_job_sent(zone as usize);
         }
     }
 
-    /// An attempt ended.
+    /// An attempt ended. `zone` is that of the worker, and `report` the load report in its response, if any.
     pub fn on_attempt_finished(
         &mut self,
         worker: WorkerId,
@@ -118,12 +119,12 @@
         self.observations.on_attempt_finished(worker, zone, outcome, report);
     }
 
-    /// A job was served. `run_time`: how long its attempt took.
+    /// A job was served. `run_time`: how long its attempt took, in milliseconds.
     pub fn on_job_served(&mut self, run_time: Millis) {
         self.observations.on_job_served(run_time);
     }
 
-    /// A scheduler's report of observed load was received.
+    /// Handles a scheduler's report of observed load.
     pub fn handle_report(&mut self, now: Millis, from: u16, bytes: &[u8]) {
         match ZoneReport::decode(bytes, self.zone_names.len()) {
             Ok(report) => self.leader.handle_report(now, from, report),
@@ -131,7 +132,7 @@
         }
     }
 
-    /// A plan was received, under a fencing token that was accepted.
+    /// Handles a plan whose fencing token was accepted.
     pub fn handle_plan(&mut self, now: Millis, bytes: &[u8]) {
         match Plan::decode(bytes) {
             Ok(plan) if plan.zone_count() == self.zone_names.len() => {
@@ -142,7 +143,8 @@
         }
     }
 
-    /// Does what is due. Returns the costs of the routes to all zones if they have changed.
+    /// Sends a report, makes and publishes a plan, if due. Returns the costs of the routes to all zones if
+    /// they have changed.
     pub fn handle_timeout(
         &mut self,
         now: Millis,
@@ -164,7 +166,7 @@
         Some(route_costs)
     }
 
-    /// Reports the observed load to the leader, if there is one.
+    /// Reports the observed load to the leader, if one is known.
     fn report(
         &mut self,
         now: Millis,
@@ -183,7 +185,7 @@
         }
     }
 
-    /// Plans and publishes while this scheduler is the leader of the planning role.
+    /// Makes and publishes plans while this scheduler is the leader.
     fn lead(&mut self, now: Millis, cluster: &mut Cluster, peer: &PeerSocket, log: &Logger) {
         let Some(term) = cluster.holds_lease(ZONE_PLANNER) else {
             self.leader.step_down();
@@ -202,11 +204,12 @@
         if self.leader.take_due_publication(now, replan.is_some()) {
             cluster.broadcast_fenced(peer, ZONE_PLANNER, term, &plan.encode());
         }
-        // A leader's own plan is never stale: its term is newer than that of any plan it knows.
+        // The leader's own plan is never stale, since its term is later than that of any other plan it knows.
         let _ = self.follower.handle_plan(plan_time, plan);
     }
 
-    /// The costs of the routes to all zones now. Empty: the policy applies its own cost of a crossing.
+    /// The current costs of the routes to all zones. If empty, the policy uses its own cost of crossing
+    /// zones.
     fn update_route_costs(&mut self, now: WholeMillis, log: &Logger) -> Vec<f64> {
         let (source, route_costs) = match self.follower.routing_mode(now) {
             RoutingMode::Planned(shares) => (RoutingSource::Plan, self.cost_model.costs(now, &shares)),
@@ -219,7 +222,7 @@
         route_costs
     }
 
-    /// The lines of the admin endpoint's `ZONES`.
+    /// The reply to the admin call `ZONES`: a summary line, then one line per zone if a plan is in effect.
     pub fn status_lines(&mut self, now: Millis) -> Vec<String> {
         let summary = status::summary_line(self.source, self.follower.newest_version(), &self.counts);
         let mut lines = vec![summary];
@@ -230,13 +233,13 @@
     }
 }
 
-/// The region of each zone, by number; zones that are named in none share one more.
+/// The region number of each zone. Zones that belong to no configured region share one additional region.
 fn region_numbers(options: &ZoneOptions, zone_names: &[String]) -> Vec<usize> {
     let region_of = |name: &String| options.regions.iter().position(|region| region.contains(name));
     zone_names.iter().map(|name| region_of(name).unwrap_or(options.regions.len())).collect()
 }
 
-/// The term of the role lease, as plans carry it.
+/// Converts the term of the role lease to the form used in plans.
 fn planner_term(term: Term) -> PlannerTerm {
     PlannerTerm {
         era: term.epoch.era,
--- a/crates/daemon/src/net/zone_routing/observations.rs
+++ b/crates/daemon/src/net/zone_routing/observations.rs
@@ -1,4 +1,4 @@
-//! What this scheduler observes of zones between two reports.
+//! What this scheduler observes about routes, load and workers between two of its zone reports.
 
 use crate::net::event_loop::Millis;
 use brackenledge_discovery::{EndpointDirectory, EndpointRecord};
@@ -6,31 +6,32 @@
 use brackenledge_zone_routing::{RouteStats, SchedulerZoneReport};
 use std::collections::HashMap;
 
-/// Unit in which the offered load is reported.
+/// The offered load is reported in hundredths of a slot.
 const CENTISLOTS_PER_SLOT: f64 = 100.0;
-/// Smoothing of the offered load over reports: a second of one scheduler's traffic is a few dozen jobs, and its random
-/// variation must not change the plan.
+/// Smoothing factor of the offered load over reports. One scheduler gets only a few dozen jobs per second,
+/// and their random variation must not change the plan.
 const OFFERED_SMOOTHING: f64 = 0.25;
-/// Smoothing of the run time over jobs.
+/// Smoothing factor of the run time over jobs.
 const RUN_TIME_SMOOTHING: f64 = 0.05;
-/// Smoothing of a worker's slots over its load reports.
+/// Smoothing factor of a worker's slots over its load reports.
 const SLOTS_SMOOTHING: f64 = 0.2;
 
-/// Routes, load and workers as one scheduler observes them.
+/// Routes, load and workers as observed by this scheduler.
 pub(super) struct Observations {
-    /// The fraction of its slots that a worker has when it starts.
+    /// The fraction of its slots that a worker provides right after its start.
     initial_capacity_fraction: f64,
-    /// How long a worker takes from its start to have all its slots.
+    /// Time from a worker's start until it provides all its slots.
     warm_up_duration: Millis,
+    /// Attempts of the current interval, by zone of the worker.
     routes: Vec<RouteStats>,
     interval_start: Millis,
-    /// Slots of all jobs that had arrived at the start of the interval.
+    /// Cumulative slots of all jobs that had arrived when the interval began.
     arrived_slots: f64,
-    /// Slots that the work of this scheduler's clients needs, in hundredths, smoothed.
+    /// Load offered by this scheduler's clients in hundredths of a slot, smoothed.
     offered_centislots: Option<f64>,
-    /// How long a job runs, smoothed.
+    /// Run time of a job, smoothed.
     run_time: Option<Millis>,
-    /// Slots of each worker that has reported them.
+    /// Slots of each worker that has reported its load, smoothed.
     worker_slots: HashMap<WorkerId, f64>,
 }
 
@@ -48,7 +49,7 @@
         }
     }
 
-    /// When the interval of the next report began.
+    /// Start of the interval that the next report covers.
     pub fn interval_start(&self) -> Millis {
         self.interval_start
     }
@@ -78,7 +79,8 @@
             return;
         }
         let known = self.worker_slots.entry(worker).or_insert(slots);
-        // Where no slot is free, jobs in flight may be queued without a slot, and the sum is too large.
+        // Without a free slot, jobs in flight may include queued ones that occupy no slot, so the sum may be
+        // too large.
         if free >= 1.0 {
             *known = (1.0 - SLOTS_SMOOTHING) * *known + SLOTS_SMOOTHING * slots;
         }
@@ -89,7 +91,8 @@
         *smoothed += RUN_TIME_SMOOTHING * (run_time - *smoothed);
     }
 
-    /// Ends the interval; its report, unless too little is known for one.
+    /// Ends the interval and starts the next. Returns the report of the ended one, unless too little is known
+    /// for it. `arrived_slots`: cumulative slots of all jobs that have arrived.
     pub fn take_report(
         &mut self,
         now: Millis,
@@ -102,7 +105,8 @@
         (self.interval_start, self.arrived_slots) = (now, arrived_slots);
         let no_routes = vec![RouteStats::default(); self.routes.len()];
         let mut routes = std::mem::replace(&mut self.routes, no_routes);
-        // Until a job's run time and a worker's slots are known, the load can't be expressed in slots.
+        // The load can't be expressed in slots until the run time of jobs and the slots of a worker are
+        // known.
         let run_time = self.run_time?;
         if self.worker_slots.is_empty() || is_first {
             return None;
@@ -124,7 +128,8 @@
         smoothed.round() as u32
     }
 
-    /// Slots of the ready workers in each zone. A worker that has reported none counts with the mean.
+    /// Slots of the ready workers in each zone. Workers that have reported no slots count with the mean of
+    /// the others.
     fn ready_slots(&self, now: Millis, endpoints: &EndpointDirectory) -> Vec<f64> {
         let mean = self.worker_slots.values().sum::<f64>() / self.worker_slots.len() as f64;
         let mut ready_slots = vec![0.0; self.routes.len()];
@@ -140,7 +145,7 @@
         ready_slots
     }
 
-    /// The fraction of its slots that a worker has, which grows linearly while it warms up.
+    /// The fraction of its slots that a worker provides. It grows linearly while the worker warms up.
     fn available_fraction(&self, now: Millis, endpoint: &EndpointRecord) -> f64 {
         let warmed_up =
             endpoint.started_at.map_or(1.0, |started_at| (now - started_at) / self.warm_up_duration.max(1.0));
--- a/crates/daemon/src/net/zone_routing/plan_leader.rs
+++ b/crates/daemon/src/net/zone_routing/plan_leader.rs
@@ -1,4 +1,4 @@
-//! The leader's part: sums up the schedulers' reports, plans, and decides when the plan is published.
+//! The leader's state: aggregates the schedulers' reports, makes plans, and decides when a plan is published.
 
 use super::report::ZoneReport;
 use super::whole_millis;
@@ -9,23 +9,25 @@
 };
 use std::collections::BTreeMap;
 
-/// How long a scheduler's last report counts: several report intervals, so that a lost datagram does not look like a lost
-/// scheduler.
+/// How long a scheduler's last report counts. Several report intervals, so that the loss of a datagram is not
+/// taken for the loss of its scheduler.
 const REPORT_TTL: Millis = 3_500.0;
-/// Time between two publications of the same plan.
+/// Interval between two publications of the same plan.
 const PUBLISH_INTERVAL: Millis = 500.0;
 
-/// A scheduler's newest report.
+/// A scheduler's latest report, with the time of its arrival.
 struct ReceivedReport {
     received_at: Millis,
     report: ZoneReport,
 }
 
-/// Plans while this scheduler is the leader. Reports that arrive before its lease is held count once it is.
+/// Makes plans while this scheduler is the leader. Reports that arrived before the lease was acquired are
+/// used too.
 #[derive(Default)]
 pub(super) struct PlanLeader {
-    /// By the scheduler's ordinal.
+    /// The latest reports, by ordinal of the scheduler.
     reports: BTreeMap<u16, ReceivedReport>,
+    /// Present while the role lease is held.
     planner: Option<Planner>,
     published_at: Millis,
 }
@@ -35,12 +37,13 @@
         self.reports.insert(from, ReceivedReport { received_at: now, report });
     }
 
-    /// The role lease is not held.
+    /// The role lease is not held, so there is nothing to plan.
     pub fn step_down(&mut self) {
         self.planner = None;
     }
 
-    /// The role lease is held under this term; a new planner goes on from the plan in effect.
+    /// The role lease is held under this term. If it is a new term, a new planner is created that continues
+    /// from the plan in effect.
     pub fn ensure_planner(
         &mut self,
         now: WholeMillis,
@@ -54,12 +57,12 @@
         }
     }
 
-    /// A new plan, if there is reason for one.
+    /// Makes a new plan if there is a reason for one.
     pub fn replan(&mut self, now: Millis, zone_count: usize) -> Option<Replan> {
         self.reports.retain(|_, report| now < report.received_at + REPORT_TTL);
         let now = whole_millis(now);
         let load = self.cluster_load(now, zone_count);
-        // Without a report there is no load to plan for.
+        // Without any report the load is unknown, so no plan can be made.
         if self.reports.is_empty() { None } else { self.planner.as_mut()?.replan(now, &load) }
     }
 
@@ -75,12 +78,13 @@
         load
     }
 
-    /// The plan in effect or about to be.
+    /// The planner's latest plan, which is in effect or about to be.
     pub fn plan(&self) -> Option<&Plan> {
         self.planner.as_ref()?.plan()
     }
 
-    /// Returns whether the plan is to be published now, and takes it as published if so.
+    /// Returns whether the plan is due for publication, and records it as published if so. `is_new`: it was
+    /// just made.
     pub fn take_due_publication(&mut self, now: Millis, is_new: bool) -> bool {
         let is_due = is_new || now >= self.published_at + PUBLISH_INTERVAL;
         if is_due {
--- a/crates/daemon/src/net/zone_routing/report.rs
+++ b/crates/daemon/src/net/zone_routing/report.rs
@@ -1,22 +1,22 @@
-//! The message by which a scheduler reports its observed load to the leader.
+//! The message with which a scheduler reports its observed load to the leader.
 
 use brackenledge_zone_routing::SchedulerZoneReport;
 use serde::{Deserialize, Serialize};
 
-/// A scheduler's observed load and its zone.
+/// A scheduler's zone, and the load that it observed. It is encoded with `postcard`.
 #[derive(Debug, Serialize, Deserialize)]
 pub(super) struct ZoneReport {
     pub zone: u8,
     pub observed: SchedulerZoneReport,
 }
 
-/// Why bytes are not a report.
+/// Why a zone report can't be decoded.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum DecodeReportError {
-    /// The bytes end early or hold a number out of range.
+    /// The bytes are truncated, or a number is out of range.
     #[error("malformed zone report")]
     Malformed(#[from] postcard::Error),
-    /// The settings have no such zone.
+    /// The zone index is not one of the configured zones.
     #[error("zone report of unknown zone {0}")]
     UnknownZone(u8),
 }
@@ -26,7 +26,7 @@
         postcard::to_allocvec(self).unwrap_or_default()
     }
 
-    /// A report of one of so many zones.
+    /// Decodes a report whose zone must be below `zone_count`.
     pub fn decode(bytes: &[u8], zone_count: usize) -> Result<ZoneReport, DecodeReportError> {
         let report: ZoneReport = postcard::from_bytes(bytes)?;
         if usize::from(report.zone) >= zone_count {
--- a/crates/daemon/src/net/zone_routing/status.rs
+++ b/crates/daemon/src/net/zone_routing/status.rs
@@ -1,9 +1,9 @@
-//! The state of zone routing as text, for the admin endpoint and the log.
+//! Formats the state of zone routing for the admin endpoint and the log.
 
 use super::{Counts, RoutingSource};
 use brackenledge_zone_routing::{Plan, PlanVersion};
 
-/// The name of a routing source.
+/// The name of a routing source at the admin endpoint and in the log.
 pub(super) fn source_name(source: RoutingSource) -> &'static str {
     match source {
         RoutingSource::Plan => "plan",
@@ -11,7 +11,8 @@
     }
 }
 
-/// The first line: what is routed by, the newest plan, and counts.
+/// The first line of the reply to `ZONES`: the routing source, the version of the newest plan known, and
+/// counters.
 pub(super) fn summary_line(source: RoutingSource, newest: PlanVersion, counts: &Counts) -> String {
     format!(
         "by={} plan={}/{} plans_made={} refused={} nonsense={}",
@@ -24,7 +25,8 @@
     )
 }
 
-/// A line for each zone: where its work goes, its rejected share, and the cost of the route to it from here.
+/// One line per zone: the zones that its jobs are routed to, its rejected share, and the cost of the route to
+/// it from this scheduler's zone.
 pub(super) fn zone_lines(plan: &Plan, zone_names: &[String], route_costs: &[f64]) -> Vec<String> {
     let line = |(origin, name): (usize, &String)| {
         let targets: Vec<String> = (zone_names.iter().enumerate())
@@ -39,7 +41,7 @@
     zone_names.iter().enumerate().map(line).collect()
 }
 
-/// The shares that leave their zone.
+/// Formats the shares that a plan routes to other zones.
 pub(super) fn remote_shares(plan: &Plan, zone_names: &[String]) -> String {
     let zone_count = plan.zone_count().min(zone_names.len());
     let mut crossings = Vec::new();
--- a/crates/daemon/src/net/zone_routing/tests.rs
+++ b/crates/daemon/src/net/zone_routing/tests.rs
@@ -1,12 +1,12 @@
-//! Pins the bytes of a zone report: the leader that it goes to may be of another build. The expected
-//! bytes were written by the build of commit 72e1d57.
+//! Compatibility between builds: the leader that decodes a zone report may run another build, so its encoding
+//! is fixed. The expected bytes were written by the build of commit 72e1d57.
 
 use super::*;
 use brackenledge_test_support::hex;
 use brackenledge_zone_routing::{RouteStats, SchedulerZoneReport};
 
 #[test]
-fn a_report_has_these_bytes() {
+fn zone_report_has_fixed_encoding() {
     let bytes = "01b96002ac02290207f0a2048407";
     let routes = vec![
         RouteStats { ready_slots: 300, reached: 41, failed: 2 },
