--- a/crates/daemon/tests/discovery_watch.rs
+++ b/crates/daemon/tests/discovery_watch.rs
@@ -1,4 +1,5 @@
-//! The watch of the endpoint list: when it is opened again, and moved.
+//! The watch of the endpoint list: which updates take effect, and when a watch is opened again, hedged or
+//! moved to another address.
 #![allow(missing_docs)]
 
 mod support;
@@ -13,7 +14,7 @@
 };
 
 #[test]
-fn a_draining_worker_gets_no_new_job_and_a_moved_one_is_found() {
+fn draining_workers_get_no_new_jobs_and_changed_addresses_are_used() {
     let (scheduler, worker) = scheduler_with_one_worker();
     let mut attempt = scheduler.assert_serves(&worker, "e1");
     let other = bind_loopback();
@@ -25,7 +26,7 @@
     );
     let (request, mut watch) = scheduler.accept_watch(&[moved]);
     assert!(request.starts_with("GET /discovery/hosts?follow=1&since=1 "), "{request}");
-    // Its idle connection is closed once the drain is known.
+    // The worker's idle connection is closed once its drain is known.
     assert!(is_closed(&mut attempt));
     scheduler.assert_serves(&other, "e2");
     let third = bind_loopback();
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn a_watch_that_drops_or_is_malformed_is_opened_again() {
+fn dropped_malformed_rejected_and_silent_watches_are_reopened() {
     let (scheduler, worker) = scheduler_with_one_worker();
     let (_, mut watch) = scheduler.accept_watch(&[endpoint_list(2, false, &[])]);
     send(&mut watch, &chunk("{\"index\":3,\"snapshot\":\"maybe\"}\n"));
@@ -46,20 +47,21 @@
     let (request, watch) = scheduler.accept_watch(&[]);
     assert!(request.contains("since=2"), "{request}");
     drop(watch);
-    let mut refused = accept(&scheduler.discovery);
-    read_message(&mut refused);
-    send(&mut refused, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
+    let mut rejected = accept(&scheduler.discovery);
+    read_message(&mut rejected);
+    send(&mut rejected, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n");
     let (_, mut silent) = scheduler.accept_watch(&[]);
-    // A watch without even an empty line is dead, though its connection is open.
+    // A watch that sends not even an empty line (a keep-alive) is given up, although its connection is open.
     assert!(is_closed(&mut silent));
     scheduler.accept_watch(&[]);
     scheduler.assert_serves(&worker, "f1");
 }
 
 #[test]
-fn a_watch_closed_within_a_line_is_opened_again_at_once() {
+fn watch_closed_within_a_line_is_reopened_at_once() {
     let mut config = settings();
-    // As in service: the backoff after a failed request is a part of this.
+    // A production value. The backoff after a failed request is a fraction of it, so it would delay the next
+    // watch.
     config["obligations"]["ask-within"] = json!(60_000.0);
     let worker = bind_loopback();
     let at = address_of(&worker);
@@ -74,50 +76,50 @@
 }
 
 #[test]
-fn a_watch_without_a_response_is_hedged_and_the_first_to_respond_stays() {
+fn watch_without_a_response_is_hedged_and_the_first_to_respond_is_kept() {
     let worker = bind_loopback();
     let scheduler = Scheduler::start(&[]);
-    let mut dead = accept(&scheduler.discovery);
-    read_message(&mut dead);
+    let mut unanswered = accept(&scheduler.discovery);
+    read_message(&mut unanswered);
     let mut second = accept(&scheduler.discovery);
-    // The first is still open, and its response might come yet.
-    dead.set_nonblocking(true).expect("set_nonblocking");
-    assert!(dead.peek(&mut [0; 1]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock));
+    // The first watch is still open, since it might still get a response.
+    unanswered.set_nonblocking(true).expect("set_nonblocking");
+    assert!(unanswered.peek(&mut [0; 1]).is_err_and(|e| e.kind() == ErrorKind::WouldBlock));
     read_message(&mut second);
     let known = endpoint("s-a", address_of(&worker), "ready");
     send(&mut second, &format!("{RESPONSE_HEAD}{}", line_chunk(endpoint_list(2, true, &[known]))));
     scheduler.wait_until_ready();
-    dead.set_nonblocking(false).expect("set_nonblocking");
-    assert!(is_closed(&mut dead));
+    unanswered.set_nonblocking(false).expect("set_nonblocking");
+    assert!(is_closed(&mut unanswered));
     scheduler.assert_serves(&worker, "x1");
 }
 
 #[test]
-fn a_discovery_request_that_cannot_connect_is_soon_retried() {
+fn discovery_request_that_cannot_connect_is_soon_retried() {
     let mut scheduler = Scheduler::start(&[]);
     let (_, _watch) = scheduler.accept_watch(&[endpoint_list(1, true, &[])]);
-    // A listener whose backlog is full drops SYNs, as a machine that is cut off does.
-    let cut_off = bind_loopback();
-    let at = address_of(&cut_off);
+    // A listener whose backlog is full drops SYNs, as if its machine were unreachable.
+    let unreachable = bind_loopback();
+    let at = address_of(&unreachable);
     let wait = ms(300);
     let _queue: Vec<TcpStream> = std::iter::from_fn(|| TcpStream::connect_timeout(&at, wait).ok()).collect();
-    scheduler.reload(Some(cut_off));
+    scheduler.reload(Some(unreachable));
     let (since, mut attempts) = (Instant::now(), std::collections::BTreeSet::new());
     while since.elapsed() < ms(3_500) {
-        let table = std::fs::read_to_string("/proc/net/tcp").expect("the system's sockets");
+        let table = std::fs::read_to_string("/proc/net/tcp").expect("the table of TCP sockets");
         let fields = table.lines().map(|line| line.split_whitespace().collect::<Vec<_>>());
-        // SYN sent, to that port.
+        // Sockets in state SYN_SENT (02) to that port.
         let to = format!(":{:04X}", at.port());
         let connecting = fields.filter(|f| f.len() > 3 && f[3] == "02" && f[2].ends_with(&to));
         attempts.extend(connecting.map(|f| f[1].to_owned()));
         std::thread::sleep(ms(20));
     }
-    // Two would be the first one and its hedge.
+    // Two attempts would be the first request and its hedge; more show that the request was retried.
     assert!(attempts.len() > 2, "{attempts:?}");
 }
 
 #[test]
-fn in_push_mode_the_watch_is_opened_at_the_start_and_again_after_its_end() {
+fn push_mode_opens_the_watch_at_the_start_and_again_after_its_end() {
     let worker = bind_loopback();
     let mut config = settings();
     config["discovery"] = json!("pushed");
@@ -140,11 +142,11 @@
     let (request, watch) = scheduler.accept_watch(&[endpoint_list(3, false, &[])]);
     assert!(request.contains("since=2 "), "{request}");
     drop(old);
-    // What can't be read changes nothing, and the watch goes on.
+    // A configuration that can't be read changes nothing, and the watch continues.
     scheduler.reload(None);
     send(&mut attempt, &served_response("r1", "kept"));
     assert!(read_message(&mut client).ends_with("\r\n\r\nkept"));
-    // A discovery that closes its connection is soon connected to again, and a shutdown may come between.
+    // If discovery closes a connection, the scheduler soon connects again, also during a shutdown.
     let later = bind_loopback();
     let (address, silent) = (address_of(&later), later);
     scheduler.reload(Some(silent));
--- a/crates/daemon/tests/endpoint_gossip.rs
+++ b/crates/daemon/tests/endpoint_gossip.rs
@@ -1,4 +1,4 @@
-//! What another scheduler says of endpoints.
+//! Effects of gossip about endpoints that is received from another scheduler.
 #![allow(missing_docs)]
 
 mod support;
@@ -12,12 +12,13 @@
     endpoint_list, entry, job_request, line_chunk, ms, read_message, send, two_workers, wait_until_not_used,
 };
 
-/// The gossip of another scheduler whose watch has brought this update.
+/// The gossip messages of another scheduler whose watch has received one update.
 fn gossip_after_update(entries: &[(&str, Readiness)], index: u64) -> Vec<String> {
     gossip_after_updates(&[(index, entries)])
 }
 
-/// The same after several updates of its watch.
+/// The gossip messages of another scheduler whose watch has received these updates, each a revision and its
+/// entries.
 fn gossip_after_updates(updates: &[(u64, &[(&str, Readiness)])]) -> Vec<String> {
     let settings = DiscoverySettings {
         ordinal: 1,
@@ -60,14 +61,15 @@
 }
 
 #[test]
-fn a_peers_gossip_takes_effect_while_the_own_watch_is_silent() {
+fn gossip_takes_effect_while_the_own_watch_is_silent() {
     let TwoWorkers { scheduler, a, b, watch: _watch } = two_workers();
     for text in gossip_after_update(&[("s-a", Readiness::Draining)], 7) {
         scheduler.peer.send_to(text.as_bytes(), scheduler.peer_address).expect("sent");
     }
     wait_until_not_used(&scheduler, &a);
     assert_all_jobs_go_to(&scheduler, &b, &a, 6);
-    // It opens a watch for what it has missed, though its own is not late yet; and the sender gets an acknowledgement.
+    // The scheduler acknowledges the gossip, and opens a second watch for the updates that it missed,
+    // although its first watch is not late yet.
     let mut buffer = [0; 300];
     let since = Instant::now();
     loop {
@@ -82,10 +84,10 @@
 }
 
 #[test]
-fn after_a_restart_an_endpoint_that_peers_withdrew_is_ready_only_by_the_own_list() {
+fn after_a_restart_gossip_can_withdraw_an_endpoint_but_only_the_own_list_makes_it_ready() {
     let (a, b) = (bind_loopback(), bind_loopback());
     let scheduler = Scheduler::start(&[entry("s-a", &a, "ready"), entry("s-b", &b, "ready")]);
-    // Discovery is busy: the watch is open and has no response.
+    // Discovery does not respond to the watch yet.
     let mut watch = accept(&scheduler.discovery);
     read_message(&mut watch);
     scheduler.wait_until_ready();
@@ -99,7 +101,7 @@
     let whole = endpoint_list(9, true, &[entry("s-a", &a, "ready"), entry("s-b", &b, "ready")]);
     send(&mut watch, &format!("{RESPONSE_HEAD}{}", line_chunk(&whole)));
     std::thread::sleep(ms(100));
-    // Both get jobs now: two at once go to one each.
+    // Both workers are used now: of two concurrent jobs, each worker gets one.
     let _clients = [
         scheduler.send_request(&job_request("view", "r1", "x")),
         scheduler.send_request(&job_request("view", "r2", "x")),
@@ -119,7 +121,7 @@
         }
     }
     std::thread::sleep(ms(100));
-    // Both still get jobs: two at once go to one each.
+    // Both workers are still used: of two concurrent jobs, each worker gets one.
     let _clients = [
         scheduler.send_request(&job_request("view", "g1", "x")),
         scheduler.send_request(&job_request("view", "g2", "x")),
--- a/crates/daemon/tests/endpoint_lists.rs
+++ b/crates/daemon/tests/endpoint_lists.rs
@@ -1,4 +1,5 @@
-//! Endpoint lists: large ones, ones that change much, ones that go back.
+//! Endpoint lists that are large, change many endpoints at once, or have a lower revision than the list
+//! before.
 #![allow(missing_docs)]
 
 mod support;
@@ -11,7 +12,7 @@
 };
 
 #[test]
-fn an_update_that_changes_many_statuses_is_logged_as_counts() {
+fn update_that_changes_many_statuses_is_logged_as_counts() {
     let TwoWorkers { scheduler, a, b, mut watch } = two_workers();
     let many = |status: &str| -> Vec<Value> {
         (0..300).map(|n| endpoint(&format!("m-{n}"), address_of(&a), status)).collect()
@@ -28,12 +29,12 @@
     assert_eq!(
         scheduler.count_log_lines("endpoint_status_changed, "),
         1,
-        "no line for those of the many, nor for added ones"
+        "endpoints in a summary and added endpoints are not logged individually"
     );
 }
 
 #[test]
-fn a_list_of_ten_thousand_endpoints_is_applied_completely_and_a_change_of_one_is_found() {
+fn list_of_ten_thousand_endpoints_and_a_change_of_one_of_them_are_applied() {
     let worker = bind_loopback();
     let at = address_of(&worker);
     let scheduler = Scheduler::start(&[]);
@@ -41,13 +42,13 @@
         (0..10_000).map(|n| endpoint(&format!("server-with-a-long-name-{n:06}"), at, "draining")).collect();
     many.push(endpoint("s-a", at, "ready"));
     let whole = endpoint_list(2, true, &many).to_string();
-    assert!(whole.len() > 1024 * 1024, "a list longer than an earlier bound");
+    assert!(whole.len() > 1024 * 1024, "the list is longer than 1 MiB, an earlier limit");
     let (_, mut watch) = {
-        let mut call = accept(&scheduler.discovery);
-        let request = read_message(&mut call);
-        send(&mut call, RESPONSE_HEAD);
-        send(&mut call, &line_chunk(&whole));
-        (request, call)
+        let mut connection = accept(&scheduler.discovery);
+        let request = read_message(&mut connection);
+        send(&mut connection, RESPONSE_HEAD);
+        send(&mut connection, &line_chunk(&whole));
+        (request, connection)
     };
     scheduler.wait_until_ready();
     scheduler.assert_serves(&worker, "ten1");
@@ -59,12 +60,12 @@
 }
 
 #[test]
-fn a_list_with_a_lower_revision_is_applied() {
+fn list_with_a_lower_revision_is_applied() {
     let TwoWorkers { scheduler, a, b, mut watch } = two_workers();
     send(&mut watch, &line_chunk(endpoint_list(90, false, &[entry("s-b", &b, "draining")])));
     std::thread::sleep(ms(100));
     drop(watch);
-    // Discovery has restarted, and knows nothing of revision 90.
+    // Discovery was restarted and numbers its revisions from 1 again.
     let whole = endpoint_list(1, true, &[entry("s-a", &a, "draining"), entry("s-b", &b, "ready")]);
     let (request, _watch) = scheduler.accept_watch(&[whole]);
     assert!(request.contains("since=90"), "{request}");
@@ -72,8 +73,8 @@
     assert_all_jobs_go_to(&scheduler, &b, &a, 3);
 }
 
-/// Figures for `docs/measurements/discovery.md`, by size of the list: `cargo test --release --locked -p brackenledge
-/// --test endpoint_lists -- --ignored --nocapture`.
+/// Measures the costs of lists by their size, for `docs/measurements/discovery.md`. Run with
+/// `cargo test --release --locked -p brackenledge --test endpoint_lists -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn cost_of_endpoint_lists_by_their_size() {
@@ -85,9 +86,9 @@
         let scheduler = Scheduler::start(&[]);
         let many: Vec<Value> = (0..size).map(|n| endpoint(&format!("s-{n:08x}"), at, "ready")).collect();
         let whole = endpoint_list(1, true, &many).to_string();
-        let mut call = accept(&scheduler.discovery);
-        read_message(&mut call);
-        send(&mut call, &format!("{RESPONSE_HEAD}{}", line_chunk(&whole)));
+        let mut connection = accept(&scheduler.discovery);
+        read_message(&mut connection);
+        send(&mut connection, &format!("{RESPONSE_HEAD}{}", line_chunk(&whole)));
         scheduler.wait_until_ready();
         scheduler.assert_serves(&worker, "first");
         let first = since.elapsed().as_secs_f64() * 1_000.0;
@@ -96,10 +97,13 @@
         for n in 0..changes {
             let state = if n % 2 == 0 { "draining" } else { "ready" };
             let name = format!("s-{:08x}", n / 2 % size);
-            send(&mut call, &line_chunk(endpoint_list(2 + n as u64, false, &[endpoint(&name, at, state)])));
+            send(
+                &mut connection,
+                &line_chunk(endpoint_list(2 + n as u64, false, &[endpoint(&name, at, state)])),
+            );
         }
         scheduler.assert_serves(&worker, "last");
-        // A tick of processor time is 10 ms on every system that has /proc.
+        // A tick of processor time is 10 ms on every system with /proc.
         let each = (scheduler.cpu_ticks() - before) as f64 * 10_000.0 / changes as f64;
         println!("{size:>7}  {:>7}  {first:>25.0}  {memory:>9}  {each:>26.1}", whole.len() / 1024);
     }
--- a/crates/daemon/tests/epoch_persistence.rs
+++ b/crates/daemon/tests/epoch_persistence.rs
@@ -1,4 +1,4 @@
-//! The latest epoch that a member knows, across a crash.
+//! A member's latest known epoch is kept across a crash.
 #![allow(missing_docs)]
 
 mod support;
@@ -7,7 +7,7 @@
 use support::{Launch, Scheduler, run, settings};
 
 #[test]
-fn the_latest_epoch_known_is_stored_and_sent_after_a_crash() {
+fn latest_known_epoch_is_stored_and_sent_after_a_crash() {
     use brackenledge_leases::{Epoch, Message, ProcessId};
     let directory = tempfile::tempdir().expect("a directory");
     let file = directory.path().join("operations.toml");
@@ -15,7 +15,7 @@
     let text = format!("[tier]\non = true\nstate_dir = {:?}\n", state.to_str().expect("a path"));
     std::fs::write(&file, text).expect("written");
     let start = || Launch { operations: Some(&file), ..Launch::default() }.start();
-    // The epoch in the next join request.
+    // Waits for the scheduler's next join request and returns the epoch in it.
     let next_joined_epoch = |scheduler: &Scheduler| loop {
         let mut bytes = [0; 256];
         let count = scheduler.peer.recv(&mut bytes).expect("a datagram");
@@ -27,23 +27,25 @@
     };
     let mut scheduler = start();
     assert_eq!(next_joined_epoch(&scheduler), Epoch::default());
-    // Another member knows of an epoch far ahead of all clocks.
-    let far = Epoch { era: 4_000_000_000, number: 7 };
+    // Another member knows an epoch whose era is far ahead of all clocks.
+    let later_epoch = Epoch { era: 4_000_000_000, number: 7 };
     let join_request =
-        Message::JoinRequest { from: ProcessId { ordinal: 1, incarnation: 1 }, latest_epoch: far }.encode();
+        Message::JoinRequest { from: ProcessId { ordinal: 1, incarnation: 1 }, latest_epoch: later_epoch }
+            .encode();
     scheduler.peer.send_to(&[&[0xf2], &join_request[..]].concat(), scheduler.peer_address).expect("sent");
-    while next_joined_epoch(&scheduler) != far {}
+    while next_joined_epoch(&scheduler) != later_epoch {}
     scheduler.child.kill().expect("killed");
-    scheduler.child.wait().expect("it ends");
-    // A new process of the same ordinal sends it from its first message on.
+    scheduler.child.wait().expect("the process ends");
+    // A new process with the same ordinal sends the stored epoch in its first join request.
     let scheduler = start();
-    assert_eq!(next_joined_epoch(&scheduler), far);
+    assert_eq!(next_joined_epoch(&scheduler), later_epoch);
     drop(scheduler);
-    // Where it can't be read, the start fails: the process might use an epoch that is over.
+    // If the epoch file can't be read, the start fails, since the process might otherwise use an outdated
+    // epoch.
     std::fs::write(state.join("tier-0.json"), "{\"era\":").expect("written");
-    let good = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings(),
+    let config = json!({"listen": "127.0.0.1:0", "discovery": "127.0.0.1:1", "settings": settings(),
         "peer_listen": "127.0.0.1:0", "peers": ["127.0.0.1:1", "127.0.0.1:2"]});
-    let output = run(&["serve", "--operations", file.to_str().expect("a path")], Some(&good));
+    let output = run(&["serve", "--operations", file.to_str().expect("a path")], Some(&config));
     let message = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success(), "{message}");
     assert!(message.contains("tier.state_dir: ") && message.contains("tier-0.json: "), "{message}");
--- a/crates/daemon/tests/lost_gossip.rs
+++ b/crates/daemon/tests/lost_gossip.rs
@@ -1,16 +1,16 @@
-//! Two schedulers, a working watch at one of them, and datagrams between them that are lost.
+//! Removals of endpoints must reach a scheduler through gossip although its own watch is silent and datagrams
+//! are lost.
 //!
-//! In pre-production, with 204 schedulers, 14 to 16 of 24 to 26 workers were removed from the list at one time and
-//! replaced by others. Three schedulers went on sending work to removed workers: 0.1 to 0.9 s after the last moment at
-//! which they had to know. Their own watches did not work just then, which is usual for most schedulers in the minute after
-//! a start, and their logs had no line on the change, not even one that a peer had reported it.
+//! Guards against a failure seen with 204 schedulers: 14 to 16 of 24 to 26 workers were replaced at once, and
+//! three schedulers without a working watch, which is usual in the minute after a start, still sent jobs to
+//! removed workers 0.1 to 0.9 s after the removal had to be known.
 //!
-//! Gossip had told them nothing, and never would have. A removal of many endpoints and the news of their replacements are
-//! more than one message holds (26 changes). A scheduler that got the second message of two answered that it knew the
-//! revision; its peers then sent it the first one no more, and it did not pass the first one on when that came late. And
-//! a scheduler that no message had reached within 1.9 s was never sent the change again, nor did it ask. What settled it
-//! is how often a scheduler of 204 had not heard of the change when it had to know, with no message lost: 0 of 200 runs
-//! with 26 changes, 75 of 200 with 28.
+//! Gossip would never have told them. The removals and replacements did not fit in one message, which holds
+//! 26 changes. A scheduler that received only the second of two messages acknowledged the revision, so its
+//! peers did not send it the first one again, and it did not forward the first one when that arrived late. A
+//! scheduler that no message had reached within 1.9 s was never sent the change again, nor did it ask for it.
+//! With 204 schedulers and no message lost, a scheduler did not know the change in time in 0 of 200 runs with
+//! 26 changes, and in 75 of 200 runs with 28.
 #![allow(missing_docs)]
 
 mod support;
@@ -22,15 +22,18 @@
     read_message, send, settings, sleep_until, spawn_worker,
 };
 
-/// Endpoints that are removed at one time, as many new ones, and some that stay.
+/// Number of endpoints that are removed at once, and of the new ones that replace them.
 const REMOVED: usize = 16;
+/// Number of endpoints that stay in the list.
 const STAYING: usize = 8;
-/// By now each scheduler must know of a change, and the grace of the drain is over: 6 s and 0.25 s, with 0.05 s of slack.
+/// Time after a change by which each scheduler must know it and the drain grace is over, in milliseconds: 6 s
+/// and 0.25 s, with a margin of 0.05 s.
 const MUST_BE_KNOWN_AFTER: u64 = 6_300;
-/// The time between two jobs, and for how long they are sent before the change and after it must be known.
+/// Time between two jobs, in milliseconds.
 const JOB_INTERVAL: u64 = 40;
+/// How long jobs are sent before the change, and again after it must be known, in milliseconds.
 const OBSERVED_FOR: u64 = 800;
-/// Gossip with as many changes as endpoints are removed is longer than this.
+/// Gossip messages with at least `REMOVED` changes are longer than this.
 const LONG_DATAGRAM_BYTES: usize = 150;
 
 struct Pair {
@@ -41,8 +44,8 @@
     staying_at: SocketAddr,
 }
 
-/// Two schedulers that know the same endpoints: those to be removed are one worker under many names, the others are
-/// another. Discovery answers only the first scheduler from now on.
+/// Starts two schedulers that know the same endpoints. All endpoints to be removed have the address of one
+/// worker, and all others that of a second worker.
 fn start_pair() -> Pair {
     let (removed_at, removed) = spawn_worker(0);
     let (staying_at, _) = spawn_worker(0);
@@ -59,7 +62,7 @@
 }
 
 impl Pair {
-    /// What discovery writes to the first scheduler: all removals and as many new endpoints, in one update.
+    /// The update that discovery sends to the first scheduler: all removals, and as many new endpoints.
     fn update(&self) -> String {
         let mut changes: Vec<_> =
             (0..REMOVED).map(|n| endpoint(&format!("removed-{n}"), self.removed_at, "gone")).collect();
@@ -67,7 +70,8 @@
         line_chunk(endpoint_list(41, false, &changes))
     }
 
-    /// Sends jobs to the second scheduler until then; gives the number of those that went to the removed endpoints.
+    /// Sends jobs to the second scheduler until the given time. Returns how many of them went to removed
+    /// endpoints.
     fn jobs_sent_to_removed(&self, prefix: &str, until: Instant) -> usize {
         for n in 0.. {
             if Instant::now() >= until {
@@ -83,14 +87,18 @@
     }
 }
 
-/// The second scheduler's watch is silent from the start on, and the first one's datagrams to it are lost as told, from the
-/// time of the change on. It must send nothing to the removed endpoints once it has to know of their removal.
-fn removals_are_known_in_time(is_lost: impl FnOnce() -> IsLost) {
+/// Checks that the second scheduler sends no job to removed endpoints once it must know the removals. Its
+/// watch is silent from the start, and from the change on `is_lost` determines which datagrams from the first
+/// scheduler it does not get.
+fn assert_removals_known_in_time(is_lost: impl FnOnce() -> IsLost) {
     let pair = start_pair();
     let (_, mut watch) = pair.with_watch.accept_watch(&[endpoint_list(40, false, &[])]);
     let (_, _silent) = pair.without_watch.accept_watch(&[endpoint_list(40, false, &[])]);
     pair.without_watch.wait_until_ready();
-    assert!(pair.jobs_sent_to_removed("before", Instant::now() + ms(OBSERVED_FOR)) > 0, "they are not used");
+    assert!(
+        pair.jobs_sent_to_removed("before", Instant::now() + ms(OBSERVED_FOR)) > 0,
+        "the endpoints to be removed are not used before the change"
+    );
 
     let relay = DatagramRelay::start(&pair.with_watch, &pair.without_watch, is_lost());
     send(&mut watch, &pair.update());
@@ -100,13 +108,13 @@
         send(&mut watch, &support::chunk("\n"));
     }
     let late = pair.jobs_sent_to_removed("late", must_be_known + ms(OBSERVED_FOR));
-    assert!(relay.lost.load(std::sync::atomic::Ordering::Relaxed) > 0, "nothing was lost");
+    assert!(relay.lost.load(std::sync::atomic::Ordering::Relaxed) > 0, "no datagram was lost");
     assert_eq!(late, 0, "jobs went to endpoints that were removed {MUST_BE_KNOWN_AFTER} ms before");
 }
 
 #[test]
-fn removals_are_known_in_time_though_one_message_of_several_is_lost() {
-    removals_are_known_in_time(|| {
+fn removals_are_known_in_time_if_one_of_several_messages_is_lost() {
+    assert_removals_known_in_time(|| {
         let mut lost = 0;
         Box::new(move |datagram| {
             let is_lost = lost == 0 && datagram.len() > LONG_DATAGRAM_BYTES;
@@ -117,8 +125,8 @@
 }
 
 #[test]
-fn removals_are_known_in_time_by_a_scheduler_that_was_cut_off_from_its_peers() {
-    removals_are_known_in_time(|| {
+fn removals_are_known_in_time_after_a_partition_from_peers() {
+    assert_removals_known_in_time(|| {
         let until = Instant::now() + ms(4_000);
         Box::new(move |_| Instant::now() < until)
     });
--- a/crates/daemon/tests/silent_watches.rs
+++ b/crates/daemon/tests/silent_watches.rs
@@ -1,4 +1,5 @@
-//! Watches that fall silent or are reset with a drain still to be reported.
+//! Watches that fall silent or are reset before they report a drain. The drain must be known in time through
+//! another watch.
 #![allow(missing_docs)]
 
 mod support;
@@ -11,17 +12,18 @@
     send, trace_id, two_workers, two_workers_with_max_poll_interval, wait_until_not_used,
 };
 
-/// A watch that falls silent behind these bytes, and a drain on the next one: no job goes to the draining worker once
-/// that drain must be known, 6 s after the silence began.
-fn silent_watch_is_replaced(what: &str, last_bytes: &str) {
+/// A watch falls silent after sending `last_bytes`, and the watch that replaces it reports a drain. Checks
+/// that the replacement is opened in time for the drain to be known when it must be, 6 s after the silence
+/// began, and that the draining worker then gets no job.
+fn assert_silent_watch_is_replaced(what: &str, last_bytes: &str) {
     let TwoWorkers { scheduler, a, b, mut watch } = two_workers_with_max_poll_interval(5_000.0);
     let mut since = Instant::now();
     if !last_bytes.is_empty() {
         send(&mut watch, last_bytes);
         since = Instant::now();
     }
-    // From here on it sends nothing and stays open. What it would have sent is sent on the next watch, which is opened
-    // in time for the drain to be known when it must be.
+    // From here on the first watch sends nothing but stays open. The update that it would have sent is sent
+    // on the replacement.
     let mut second = accept(&scheduler.discovery);
     assert!(read_message(&mut second).contains("follow=1"), "{what}");
     assert!(since.elapsed() < ms(5_000), "{what}: {:?}", since.elapsed());
@@ -32,28 +34,28 @@
 }
 
 #[test]
-fn a_watch_silent_after_a_complete_line_is_replaced_in_time() {
-    silent_watch_is_replaced("after a line", "");
+fn watch_silent_after_a_complete_line_is_replaced_in_time() {
+    assert_silent_watch_is_replaced("after a line", "");
 }
 
 #[test]
-fn a_watch_silent_after_a_keep_alive_is_replaced_in_time() {
-    silent_watch_is_replaced("after a keep-alive", &chunk("\n"));
+fn watch_silent_after_a_keep_alive_is_replaced_in_time() {
+    assert_silent_watch_is_replaced("after a keep-alive", &chunk("\n"));
 }
 
 #[test]
-fn a_watch_silent_within_a_chunks_length_is_replaced_in_time() {
-    silent_watch_is_replaced("within a chunk's length", "1");
+fn watch_silent_within_a_chunk_length_is_replaced_in_time() {
+    assert_silent_watch_is_replaced("within a chunk's length", "1");
 }
 
 #[test]
-fn a_watch_silent_within_a_line_is_replaced_in_time() {
-    silent_watch_is_replaced("within a line", &chunk("{\"index\":3,\"snapshot\":false,\"endp"));
+fn watch_silent_within_a_line_is_replaced_in_time() {
+    assert_silent_watch_is_replaced("within a line", &chunk("{\"index\":3,\"snapshot\":false,\"endp"));
 }
 
 #[test]
-fn a_watch_silent_before_its_first_line_is_replaced_in_time() {
-    // A watch that connects and gets no byte; one that gets a response head and no line.
+fn watch_silent_before_its_first_line_is_replaced_in_time() {
+    // A watch that gets no byte after connecting, and one that gets a response head but no line.
     for first_bytes in ["", RESPONSE_HEAD] {
         let (a, b) = (bind_loopback(), bind_loopback());
         let scheduler = Scheduler::start(&[entry("s-a", &a, "ready"), entry("s-b", &b, "ready")]);
@@ -72,14 +74,15 @@
 }
 
 #[test]
-fn a_watch_reset_within_a_line_is_replaced_in_time_and_the_lines_drain_takes_effect() {
+fn watch_reset_within_a_line_is_replaced_at_once_and_the_drain_takes_effect() {
     for cut in [1, 30, 70] {
         let TwoWorkers { scheduler, a, b, mut watch } = two_workers_with_max_poll_interval(5_000.0);
         let line = format!("{}\n", endpoint_list(9, false, &[entry("s-a", &a, "draining")]));
         send(&mut watch, &chunk(&line)[..cut]);
         let since = Instant::now();
         reset_connection(watch);
-        // All that was written to it must be known, whether it was read or not.
+        // The drain counts as reported from when it was written, read or not, so the replacement must be
+        // opened at once.
         let mut second = accept(&scheduler.discovery);
         read_message(&mut second);
         assert!(since.elapsed() < ms(250), "{cut}: {:?}", since.elapsed());
@@ -90,20 +93,23 @@
 }
 
 #[test]
-fn a_drain_in_a_stalled_line_takes_effect_and_a_second_watch_is_opened() {
+fn drain_in_an_incomplete_line_takes_effect_and_a_second_watch_is_opened() {
     let TwoWorkers { scheduler, a, b, mut watch } = two_workers();
     let line =
         endpoint_list(3, false, &[entry("s-a", &a, "draining"), entry("s-b", &b, "ready")]).to_string();
     let first = line.find("}").expect("an entry's end") + 3;
     send(&mut watch, &chunk(&line[..first]));
     let since = Instant::now();
-    // Bytes are accepted and never delivered: a second watch is opened beside this one, which stays open.
+    // The rest of the line never arrives. A second watch is opened in addition to this one, which stays open.
     let mut second = accept(&scheduler.discovery);
     assert!(read_message(&mut second).contains("since=2"));
-    assert!(since.elapsed() < Duration::from_secs(2), "long before the watch counts as silent");
+    assert!(
+        since.elapsed() < Duration::from_secs(2),
+        "the second watch is opened long before the first one counts as silent"
+    );
     wait_until_not_used(&scheduler, &a);
     assert_all_jobs_go_to(&scheduler, &b, &a, 6);
-    // The second watch brings a newer list that names it ready.
+    // The second watch reports a newer list, in which the worker is ready.
     send(
         &mut second,
         &format!("{RESPONSE_HEAD}{}", line_chunk(endpoint_list(4, false, &[entry("s-a", &a, "ready")]))),
@@ -111,7 +117,7 @@
     wait_until_used(&scheduler, &a, &b);
 }
 
-/// Sends one job after another until this worker serves one; the other worker may serve some before.
+/// Sends one job after another until `worker` serves one. Jobs before it may be served by `other`.
 fn wait_until_used(scheduler: &Scheduler, worker: &TcpListener, other: &TcpListener) {
     worker.set_nonblocking(true).expect("set_nonblocking");
     other.set_nonblocking(true).expect("set_nonblocking");
@@ -119,7 +125,7 @@
     for n in 0.. {
         let mut client = scheduler.send_request(&job_request("view", &format!("z{n}"), "x"));
         let (mut attempt, by_worker) = loop {
-            assert!(since.elapsed() < TEST_TIMEOUT, "the worker is never used again");
+            assert!(since.elapsed() < TEST_TIMEOUT, "the worker was not used again in time");
             std::thread::sleep(ms(20));
             let (accepted, by_other) = (worker.accept(), other.accept());
             let by_worker = accepted.is_ok();
