--- a/crates/daemon/tests/cluster.rs
+++ b/crates/daemon/tests/cluster.rs
@@ -1,5 +1,6 @@
-//! Several processes of the program in a test cluster, with faults between them: each file in `scenarios/` is played once
-//! and must come to what it expects. `docs/measurements/test-cluster.md` has what several runs of each show.
+//! Runs several processes of the program in a test cluster and injects faults. Each scenario in `scenarios/`
+//! runs once and must meet its expectations. `docs/measurements/test-cluster.md` has the results of several
+//! runs of each.
 #![allow(missing_docs)]
 
 use brackenledge_test_cluster::cluster::AdminReply;
@@ -7,14 +8,14 @@
 use brackenledge_test_cluster::{Options, Outcome, Report, Scenario, check, report, run};
 use std::path::{Path, PathBuf};
 
-/// Jobs of each class that must have been served, or a run without violations shows nothing.
+/// More jobs of each class than this must have been served, or a run without violations proves nothing.
 const MIN_SERVED: usize = 10;
-/// The same for datagrams between schedulers.
+/// More messages between schedulers than this must have been observed, for the same reason.
 const MIN_MESSAGES: usize = 10;
-/// Late fenced messages that the scenario which delays them must have.
+/// More late fenced messages than this must have been observed in the scenario that delays them.
 const MIN_LATE_FENCED_MESSAGES: usize = 10;
 
-fn folder() -> PathBuf {
+fn scenarios_directory() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../../scenarios")
 }
 
@@ -22,77 +23,85 @@
     Options { program: env!("CARGO_BIN_EXE_brackenledge").into(), stop: None }
 }
 
-/// Whether a process of this id is one of the program's.
+/// Whether a process with this id is running the program.
 fn is_running(id: &u32) -> bool {
     std::fs::read_to_string(format!("/proc/{id}/cmdline")).is_ok_and(|line| line.contains("brackenledge"))
 }
 
-/// A figure in the reply of an admin endpoint.
+/// The number after `prefix` in the reply of an admin endpoint; 0 if there is none.
 fn figure(reply: &AdminReply, prefix: &str) -> usize {
     let value = reply.text.split_whitespace().find_map(|field| field.strip_prefix(prefix));
     value.and_then(|figure| figure.parse().ok()).unwrap_or(0)
 }
 
-/// Plays a scenario, which the test cluster must be able to.
-fn outcome_of(scenario: &Scenario) -> Outcome {
-    // As text, whose first lines say what is wrong.
+/// Runs a scenario, and panics if the test cluster can't run it.
+fn run_scenario(scenario: &Scenario) -> Outcome {
+    // Formatted with `Display`, so that the first lines of the panic message state the cause.
     run(scenario, &options()).unwrap_or_else(|error| panic!("{} did not run: {error}", scenario.name))
 }
 
-/// Plays a scenario's file and requires what it expects.
-fn plays(name: &str) {
-    let scenario = Scenario::load(&folder().join(format!("{name}.toml"))).expect("a scenario");
-    let outcome = outcome_of(&scenario);
+/// Runs the scenario of this name and checks that its expectations are met.
+fn run_and_check(name: &str) {
+    let scenario = Scenario::load(&scenarios_directory().join(format!("{name}.toml"))).expect("a scenario");
+    let outcome = run_scenario(&scenario);
     let checked = check(&outcome.history, &scenario);
     let verdict = checked.verdict(&scenario);
     let summary = report::summary(&scenario, &checked, &verdict);
-    assert!(verdict.passed(), "{summary}\n{} turns of the test cluster were late", outcome.late_turns);
+    assert!(
+        verdict.passed(),
+        "{summary}\n{} turns of the test cluster's event loop were late",
+        outcome.late_turns
+    );
     assert_eq!(outcome.crashed, [""; 0], "{summary}");
-    // The checker must have observed the cluster at work, or its silence says nothing.
+    // The checker must have observed a working cluster, or the absence of violations proves nothing.
     assert!(checked.served.iter().all(|&served| served > MIN_SERVED), "{summary}");
-    assert!(checked.messages > MIN_MESSAGES, "schedulers sent one another nothing: {summary}");
+    assert!(checked.messages > MIN_MESSAGES, "no messages between schedulers were observed: {summary}");
     assert!(outcome.process_ids.len() >= scenario.schedulers);
     if scenario.operations.is_some() {
-        requires_leases(&checked, &outcome, &summary);
+        check_leases(&checked, &outcome, &summary);
     }
     if scenario.failover.is_some() {
-        requires_failover(&scenario, &checked, &outcome, &summary);
+        check_failover(&scenario, &checked, &outcome, &summary);
     }
-    requires_fencing(name, &checked, &outcome, &summary);
+    check_fencing(name, &checked, &outcome, &summary);
     assert_eq!(
         outcome.process_ids.iter().filter(|id| is_running(id)).count(),
         0,
-        "processes were left behind"
+        "processes were still running after the end of the run"
     );
 }
 
-/// Lease holders were named, and each process that still runs knows one of the first role.
-fn requires_leases(checked: &Report, outcome: &Outcome, summary: &str) {
-    assert!(!checked.role_holders.is_empty(), "no lease holder was ever named: {summary}");
+/// Checks that role holders were announced, and that each process still running knows a holder of the first
+/// role.
+fn check_leases(checked: &Report, outcome: &Outcome, summary: &str) {
+    assert!(!checked.role_holders.is_empty(), "no role holder was ever announced: {summary}");
     let known = |reply: &AdminReply| reply.text.starts_with("done\nduty=relay owner=");
     assert!(outcome.role_replies.iter().all(known), "{:?}", outcome.role_replies);
 }
 
-/// Jobs were replicated, and takeovers are counted by the processes too.
-fn requires_failover(scenario: &Scenario, checked: &Report, outcome: &Outcome, summary: &str) {
+/// Checks that jobs were replicated, and that the processes' own counters cover the takeovers that the
+/// checker observed.
+fn check_failover(scenario: &Scenario, checked: &Report, outcome: &Outcome, summary: &str) {
     let sums = report::sum_figures(&outcome.info_replies, "handover.");
     let sum = |name: &str| sums.get(&format!("handover.{name}")).copied().unwrap_or(0);
     assert_eq!(sum("nonsense"), 0, "{sums:?}\n{summary}");
-    // The process whose duplicate replaced it must be back by then.
-    let all_are_back =
+    // The process that was superseded by its duplicate must have rejoined by the end.
+    let all_have_rejoined =
         scenario.name != "failover-duplicate-process" || sum("settled") == scenario.schedulers as u64;
-    assert!(all_are_back && sum("settled") > 0, "{sums:?}\n{summary}");
+    assert!(all_have_rejoined && sum("settled") > 0, "{sums:?}\n{summary}");
     assert!(sum("kept_ended.market-sale") + sum("refused") > 0, "no job was replicated: {sums:?}");
-    // The processes that still run have counted the takeovers observed, and more: jobs that were not sent again.
+    // If all processes are still running, they have counted at least the observed takeovers. They also count
+    // takeovers of jobs of which no further attempt was sent, which the checker does not observe.
     let takeovers = checked.takeovers.iter().sum::<usize>() as u64;
-    let some_are_gone = outcome.info_replies.len() < scenario.schedulers;
-    assert!(some_are_gone || sum("adopted") >= takeovers, "{sums:?}\n{summary}");
+    let some_have_ended = outcome.info_replies.len() < scenario.schedulers;
+    assert!(some_have_ended || sum("adopted") >= takeovers, "{sums:?}\n{summary}");
 }
 
-/// Fenced messages that arrived after one of a newer term were rejected by their receivers.
-fn requires_fencing(name: &str, checked: &Report, outcome: &Outcome, summary: &str) {
+/// Checks that receivers rejected the fenced messages that arrived after one of a newer term.
+fn check_fencing(name: &str, checked: &Report, outcome: &Outcome, summary: &str) {
     let late = checked.late_fenced_messages;
-    // Where messages are delayed for it, some must have come late, or the next check shows nothing.
+    // In the scenario that delays fenced messages, some must have arrived late, or the next check proves
+    // nothing.
     assert!(name != "late-fenced-messages" || late > MIN_LATE_FENCED_MESSAGES, "{summary}");
     let rejected: usize = outcome.role_replies.iter().map(|reply| figure(reply, "deeds_refused=")).sum();
     assert!(rejected >= late, "{rejected} rejected of {late} late fenced messages: {summary}");
@@ -102,19 +111,19 @@
     ($($test:ident $file:literal)*) => {
         $(#[test]
         fn $test() {
-            plays($file);
+            run_and_check($file);
         })*
 
         #[test]
         fn every_file_is_played() {
-            let mut files: Vec<String> = std::fs::read_dir(folder())
-                .expect("a folder")
+            let mut files: Vec<String> = std::fs::read_dir(scenarios_directory())
+                .expect("a directory")
                 .map(|entry| entry.expect("an entry").path().file_stem().expect("a name").to_string_lossy().into())
                 .collect();
             files.sort();
-            let mut played = vec![$($file),*];
-            played.sort_unstable();
-            assert_eq!(files, played);
+            let mut tested = vec![$($file),*];
+            tested.sort_unstable();
+            assert_eq!(files, tested);
         }
     };
 }
@@ -178,47 +187,49 @@
     zone_routing_workers_lost "zone-routing-workers-lost"
 }
 
-/// The number of active schedulers that each process still running at the end reports.
+/// Runs a scenario. Returns the number of active schedulers that each process still running at its end
+/// reports.
 fn reported_active_members(text: &str) -> Vec<String> {
     let scenario = Scenario::parse(Path::new("active.toml"), text).expect("a scenario");
-    let outcome = outcome_of(&scenario);
+    let outcome = run_scenario(&scenario);
     let active = |reply: &AdminReply| {
         let mut fields = reply.text.split_whitespace();
         let value = fields.find_map(|field| field.strip_prefix("living="));
-        value.unwrap_or_else(|| panic!("no count in {}", reply.text)).to_owned()
+        value.unwrap_or_else(|| panic!("no count of active schedulers in {}", reply.text)).to_owned()
     };
     outcome.member_replies.iter().map(active).collect()
 }
 
-const FIVE: &str = "name = \"active\"\nwhy = \"x\"\n[cluster]\nschedulers = 5\noperations = \"[tier]\\non = true\\n\"\n\
+const FIVE_SCHEDULERS: &str = "name = \"active\"\nwhy = \"x\"\n[cluster]\nschedulers = 5\noperations = \"[tier]\\non = true\\n\"\n\
                     [traffic]\nseconds = 24\n";
 
 #[test]
 fn remaining_members_report_the_active_ones() {
     let kill = "[[fault]]\nkind = \"kill\"\nat = 5.0\ntargets = [\"scheduler 1\", \"scheduler 4\"]\n";
-    assert_eq!(reported_active_members(&format!("{FIVE}{kill}")), ["3", "3", "3"]);
+    assert_eq!(reported_active_members(&format!("{FIVE_SCHEDULERS}{kill}")), ["3", "3", "3"]);
 }
 
 #[test]
 fn a_side_without_a_majority_reports_every_member() {
     let kill = "[[fault]]\nkind = \"kill\"\nat = 5.0\ntargets = [\"scheduler 0\", \"scheduler 1\", \"scheduler 4\"]\n";
-    assert_eq!(reported_active_members(&format!("{FIVE}{kill}")), ["5", "5"]);
+    assert_eq!(reported_active_members(&format!("{FIVE_SCHEDULERS}{kill}")), ["5", "5"]);
 }
 
-/// What a scheduler was told is a worker's address must be that again once the worker is back.
+/// A restarted worker keeps its address, and must get jobs at that address again.
 #[test]
 fn a_worker_that_comes_back_is_sent_work_again() {
+    /// When the worker is back, in milliseconds of the run.
     const BACK_AT: f64 = 2_000.0;
     let text = "name = \"back\"\nwhy = \"x\"\n[cluster]\nschedulers = 2\n[workers]\ncount = 2\n[traffic]\nseconds = 8\n\
                 per-second = 20\n[[fault]]\nkind = \"kill\"\nat = 1.0\nuntil = 2.0\ntargets = [\"worker 0\"]\n";
     let scenario = Scenario::parse(Path::new("back.toml"), text).expect("a scenario");
-    let outcome = outcome_of(&scenario);
+    let outcome = run_scenario(&scenario);
     let is_sent = |event: &&HistoryEvent| matches!(event, HistoryEvent::AttemptReceived { at, worker: 0, .. } if *at > BACK_AT);
     let attempts = outcome.history.iter().filter(is_sent).count();
-    assert!(attempts > 10, "{attempts} attempts in 6 s");
+    assert!(attempts > 10, "only {attempts} attempts in the 6 s after the worker was back");
 }
 
-/// What goes wrong before or beside a run is reported, and leaves nothing behind.
+/// Errors that prevent or end a run are reported.
 mod errors {
     use super::*;
     use std::sync::Arc;
@@ -230,7 +241,7 @@
     }
 
     fn error(scenario: &Scenario, options: &Options) -> String {
-        run(scenario, options).expect_err("no run").to_string()
+        run(scenario, options).expect_err("the run fails").to_string()
     }
 
     #[test]
