--- a/crates/discovery/src/anti_entropy.rs
+++ b/crates/discovery/src/anti_entropy.rs
@@ -1,7 +1,7 @@
 //! Anti-entropy: when a scheduler pulls changes that have not reached it by gossip from its peers.
 //!
-//! A rumour may be lost in part or entirely without anyone noticing: it is sent only a few times, and a peer
-//! that has heard of a revision is taken to know all of its changes. Each scheduler therefore compares the
+//! A rumour may be lost in part or entirely without being detected: it is sent only a few times, and a peer
+//! that knows of a revision is taken to know all of its changes. Each scheduler therefore compares the
 //! changes that it knows with those of its peers, by the pulls of [`crate::gossip`]. It does so periodically,
 //! more often while its own watch does not work, and shortly after a peer has mentioned a revision that its
 //! own list does not hold.
@@ -33,7 +33,7 @@
 }
 
 /// A revision that a peer has mentioned and this scheduler's list does not hold.
-struct HeardOf {
+struct MentionedRevision {
     peer: u16,
     revision: u64,
     pull_at: Millis,
@@ -44,7 +44,7 @@
 /// Schedules the pulls of one scheduler.
 pub(crate) struct AntiEntropy {
     next_pull_at: Millis,
-    heard_of: Option<HeardOf>,
+    mentioned: Option<MentionedRevision>,
     /// The newest revision for which pulls are finished: answered, given up, or no longer needed.
     pulled_revision: u64,
 }
@@ -52,7 +52,7 @@
 impl AntiEntropy {
     pub(crate) fn new(now: Millis, rng: &mut Rng) -> Self {
         let next_pull_at = now + PULL_INTERVAL_WITHOUT_WATCH * jitter(rng);
-        AntiEntropy { next_pull_at, heard_of: None, pulled_revision: 0 }
+        AntiEntropy { next_pull_at, mentioned: None, pulled_revision: 0 }
     }
 
     /// The freshness of this scheduler's list has changed.
@@ -61,7 +61,7 @@
     }
 
     /// A peer has mentioned this revision. `held` is the revision of this scheduler's list.
-    pub(crate) fn on_revision_heard_of(
+    pub(crate) fn on_revision_mentioned(
         &mut self,
         now: Millis,
         peer: u16,
@@ -69,30 +69,35 @@
         held: u64,
         rng: &mut Rng,
     ) {
-        let newest = self.heard_of.as_ref().map_or(0, |heard| heard.revision);
+        let newest = self.mentioned.as_ref().map_or(0, |mentioned| mentioned.revision);
         if revision <= held.max(self.pulled_revision).max(newest) {
             return;
         }
         // Another new revision does not postpone a pull that is already scheduled.
-        let pull_at = self.heard_of.as_ref().map_or(now + PULL_DELAY * jitter(rng), |heard| heard.pull_at);
-        self.heard_of = Some(HeardOf { peer, revision, pull_at, pulls: 0 });
+        let pull_at =
+            self.mentioned.as_ref().map_or(now + PULL_DELAY * jitter(rng), |mentioned| mentioned.pull_at);
+        self.mentioned = Some(MentionedRevision { peer, revision, pull_at, pulls: 0 });
     }
 
-    /// A peer has replied. `known` is the newest revision that it has heard of.
+    /// A peer has replied. `known` is the newest revision that it knows of.
     pub(crate) fn on_reply(&mut self, peer: u16, known: u64) {
-        let answered = |heard: &mut HeardOf| heard.peer == peer && heard.pulls > 0 && known >= heard.revision;
-        if let Some(heard) = self.heard_of.take_if(answered) {
-            self.pulled_revision = heard.revision;
+        let answered = |mentioned: &mut MentionedRevision| {
+            mentioned.peer == peer && mentioned.pulls > 0 && known >= mentioned.revision
+        };
+        if let Some(mentioned) = self.mentioned.take_if(answered) {
+            self.pulled_revision = mentioned.revision;
         }
     }
 
     /// Discovery has restarted its count of revisions, so revisions mentioned earlier are meaningless now.
     pub(crate) fn restart_revisions(&mut self) {
-        (self.heard_of, self.pulled_revision) = (None, 0);
+        (self.mentioned, self.pulled_revision) = (None, 0);
     }
 
     pub(crate) fn next_timeout(&self) -> Millis {
-        self.heard_of.as_ref().map_or(self.next_pull_at, |heard| heard.pull_at.min(self.next_pull_at))
+        self.mentioned
+            .as_ref()
+            .map_or(self.next_pull_at, |mentioned| mentioned.pull_at.min(self.next_pull_at))
     }
 
     /// Returns the pull that is due now, if any, and schedules the next one.
@@ -103,14 +108,15 @@
         held: u64,
         rng: &mut Rng,
     ) -> Option<PullFrom> {
-        if let Some(heard) = self.heard_of.take_if(|heard| heard.revision <= held || heard.pulls >= MAX_PULLS)
+        if let Some(mentioned) =
+            self.mentioned.take_if(|mentioned| mentioned.revision <= held || mentioned.pulls >= MAX_PULLS)
         {
-            self.pulled_revision = heard.revision;
+            self.pulled_revision = mentioned.revision;
         }
-        if let Some(heard) = self.heard_of.as_mut().filter(|heard| now >= heard.pull_at) {
-            heard.pulls += 1;
-            heard.pull_at = now + PULL_DELAY * jitter(rng);
-            return Some(PullFrom::Peer(heard.peer));
+        if let Some(mentioned) = self.mentioned.as_mut().filter(|mentioned| now >= mentioned.pull_at) {
+            mentioned.pulls += 1;
+            mentioned.pull_at = now + PULL_DELAY * jitter(rng);
+            return Some(PullFrom::Peer(mentioned.peer));
         }
         if now < self.next_pull_at {
             return None;
--- a/crates/discovery/src/directory.rs
+++ b/crates/discovery/src/directory.rs
@@ -309,7 +309,7 @@
         if received.is_reply {
             self.anti_entropy.on_reply(from, known);
         }
-        self.anti_entropy.on_revision_heard_of(now, from, known, held, &mut self.anti_entropy_rng);
+        self.anti_entropy.on_revision_mentioned(now, from, known, held, &mut self.anti_entropy_rng);
         self.apply_new_changes(now, from, &received);
         if self.list_received {
             self.revision_gap.on_claim(now, received.held_revision, held, &mut self.rng);
--- a/crates/engine/src/drain.rs
+++ b/crates/engine/src/drain.rs
@@ -27,8 +27,8 @@
 pub enum State {
     /// In rotation.
     Serving,
-    /// Draining, out of rotation.
-    LameDuck {
+    /// Out of rotation after LAMEDUCK.
+    Draining {
         /// When the first LAMEDUCK was received.
         since: Millis,
     },
@@ -87,17 +87,17 @@
     pub fn lame_duck(&mut self, now: Millis) -> Change {
         match self.state {
             State::Serving => {
-                self.state = State::LameDuck { since: now };
+                self.state = State::Draining { since: now };
                 Change::Draining
             }
-            State::LameDuck { .. } => Change::StillDraining,
+            State::Draining { .. } => Change::StillDraining,
         }
     }
 
     /// Handles REJOIN.
     pub fn rejoin(&mut self) -> Change {
         match self.state {
-            State::LameDuck { .. } => {
+            State::Draining { .. } => {
                 self.state = State::Serving;
                 Change::Rejoined
             }
@@ -124,7 +124,7 @@
     pub fn admits_jobs(&self, now: Millis) -> bool {
         match self.state {
             State::Serving => true,
-            State::LameDuck { since } => now < since + self.admission_grace,
+            State::Draining { since } => now < since + self.admission_grace,
         }
     }
 }
--- a/crates/engine/src/drain/tests.rs
+++ b/crates/engine/src/drain/tests.rs
@@ -37,7 +37,7 @@
     let mut drain = Drain::default();
     drain.lame_duck(1_000.0);
     drain.lame_duck(2_000.0);
-    assert_eq!(drain.state(), State::LameDuck { since: 1_000.0 });
+    assert_eq!(drain.state(), State::Draining { since: 1_000.0 });
     assert!(!drain.admits_jobs(1_000.0 + ADMISSION_GRACE));
 }
 
--- a/crates/failover/tests/model/cluster.rs
+++ b/crates/failover/tests/model/cluster.rs
@@ -26,12 +26,12 @@
     pub unavailable_workers: u8,
     /// How often a scheduler may reject a job of which no attempt was sent.
     pub rejections: u8,
-    pub injected_fault: Option<InjectedFault>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
-/// Implementation faults that the model must find.
+/// Bugs that the model checker must detect when they are added to the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum InjectedFault {
+pub enum InjectedBug {
     /// Attempts are sent before their record is acknowledged.
     SendsBeforeAck,
     /// Coordinators do not wait for the reports of the other members.
@@ -81,7 +81,7 @@
     /// The node at which the client waits, and its number there; `None` if it does not wait.
     pub client: Option<(u16, Waiter)>,
     pub next_waiter: Waiter,
-    /// Clients that have disconnected, of which their nodes have not been told yet.
+    /// Clients that have disconnected but whose nodes have not been notified yet.
     pub disconnects: Vec<(u16, Waiter)>,
     pub client_outcomes: Vec<JobOutcome>,
     /// How often the job was started after a takeover.
@@ -154,7 +154,7 @@
                     state.taken_over += u8::from(taken_over);
                     state.drivers[at].running = Some(0);
                     if prior_execution.is_some()
-                        && self.injected_fault != Some(InjectedFault::IgnoresPriorExecution)
+                        && self.injected_bug != Some(InjectedBug::IgnoresPriorExecution)
                     {
                         self.finish_job(state, node, JobOutcome::Failed);
                     } else {
@@ -190,7 +190,7 @@
         state.drivers[at].running = Some(attempt + 1);
         let Some(failover) = &mut state.nodes[at] else { return };
         let permitted = failover.request_attempt(NOW, &key(), attempt, "w", NEVER);
-        if permitted || self.injected_fault == Some(InjectedFault::SendsBeforeAck) {
+        if permitted || self.injected_bug == Some(InjectedBug::SendsBeforeAck) {
             state.drivers[at].actions.push_back(PendingAction::Attempt(attempt));
         }
     }
--- a/crates/failover/tests/model/main.rs
+++ b/crates/failover/tests/model/main.rs
@@ -13,7 +13,7 @@
     assert_no_violation, bounded_checker, first_violation, max_states, random_runs,
 };
 use cluster::{
-    Action, Cluster, Driver, InjectedFault, NEVER, NOW, PendingAction, State, members, process, term,
+    Action, Cluster, Driver, InjectedBug, NEVER, NOW, PendingAction, State, members, process, term,
 };
 use properties::{THE_JOB_IS_SERVED, properties};
 use stateright::{Checker, Model, Property};
@@ -139,7 +139,7 @@
     resubmissions: 1,
     unavailable_workers: 0,
     rejections: 0,
-    injected_fault: None,
+    injected_bug: None,
 };
 
 /// Formats a state for the path to a violation.
@@ -234,21 +234,21 @@
     check_model("rejected, two crashes", Cluster { crashes: 2, rejections: 1, ..four_nodes }, false);
 }
 
-/// Guards against a model that cannot find faults: each injected fault must violate a property.
+/// Guards against a model that is too weak: each injected bug must violate a property.
 #[test]
-fn each_injected_fault_is_found() {
+fn each_injected_bug_is_found() {
     let table = [
-        (InjectedFault::SendsBeforeAck, Cluster { crashes: 1, resubmissions: 2, ..NO_FAULTS }),
+        (InjectedBug::SendsBeforeAck, Cluster { crashes: 1, resubmissions: 2, ..NO_FAULTS }),
         (
-            InjectedFault::SkipsReports,
+            InjectedBug::SkipsReports,
             Cluster { node_count: 4, replication_factor: 2, crashes: 2, resubmissions: 2, ..NO_FAULTS },
         ),
-        (InjectedFault::IgnoresPriorExecution, Cluster { crashes: 1, resubmissions: 2, ..NO_FAULTS }),
+        (InjectedBug::IgnoresPriorExecution, Cluster { crashes: 1, resubmissions: 2, ..NO_FAULTS }),
     ];
-    for (injected_fault, model) in table {
-        let model = Cluster { injected_fault: Some(injected_fault), ..model };
+    for (injected_bug, model) in table {
+        let model = Cluster { injected_bug: Some(injected_bug), ..model };
         let violated = first_violation(&model, 1..=20, 20 * max_states(DEFAULT_MAX_STATES), describe);
-        println!("{injected_fault:?}: found by {violated:?}");
-        assert!(violated.is_some(), "{injected_fault:?}");
+        println!("{injected_bug:?}: found as a violation of {violated:?}");
+        assert!(violated.is_some(), "no violation found for {injected_bug:?}");
     }
 }
--- a/crates/failover/tests/model/transitions.rs
+++ b/crates/failover/tests/model/transitions.rs
@@ -1,7 +1,7 @@
 //! The transitions of the model: the effect of each action on the state.
 
 use crate::cluster::{
-    Action, Cluster, Driver, InjectedFault, NEVER, NOW, PendingAction, State, key, members, process, term,
+    Action, Cluster, Driver, InjectedBug, NEVER, NOW, PendingAction, State, key, members, process, term,
 };
 use brackenledge_failover::{JobOutcome, Message};
 use std::collections::BTreeSet;
@@ -146,7 +146,7 @@
         if member_list.contains(&node) {
             failover.set_member_lease(NOW, expiry);
         }
-        if self.injected_fault == Some(InjectedFault::SkipsReports) {
+        if self.injected_bug == Some(InjectedBug::SkipsReports) {
             for &other in member_list.iter().filter(|&&other| other != node) {
                 failover.handle_message(NOW, process(other), Message::ReportComplete { term: term(newest) });
             }
@@ -163,7 +163,7 @@
         Some(())
     }
 
-    /// A node is told that its client has disconnected.
+    /// A node is notified that its client has disconnected.
     fn disconnect(&self, state: &mut State, index: usize) -> Option<()> {
         let (node, waiter) = state.disconnects.remove(index);
         state.nodes[usize::from(node)].as_mut()?.client_disconnected(NOW, waiter);
--- a/crates/leases/tests/model/cluster.rs
+++ b/crates/leases/tests/model/cluster.rs
@@ -24,12 +24,12 @@
     pub actions_left: u8,
     /// Two nodes that cannot reach each other during the whole run.
     pub cut: Option<(u16, u16)>,
-    pub seeded_bug: Option<SeededBug>,
+    pub injected_bug: Option<InjectedBug>,
 }
 
 /// Bugs that the model checker must detect when they are added to the model.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum SeededBug {
+pub enum InjectedBug {
     /// A process that has restarted without its state votes under its previous incarnation.
     VotesAfterRestart,
     /// Voters count a lease as shorter than its holder does, and grant it again before it has expired.
@@ -74,7 +74,7 @@
 
 impl Cluster {
     fn settings(&self, node: u16) -> Settings {
-        let short = self.seeded_bug == Some(SeededBug::LeaseGrantedTooEarly) && node != 0;
+        let short = self.injected_bug == Some(InjectedBug::LeaseGrantedTooEarly) && node != 0;
         Settings {
             cluster_size: self.nodes,
             voters: usize::from(self.voters),
@@ -157,7 +157,7 @@
         state.crashes -= 1;
         let at = usize::from(node);
         let settings = self.settings(node);
-        let mut restarted = if self.seeded_bug == Some(SeededBug::VotesAfterRestart) {
+        let mut restarted = if self.injected_bug == Some(InjectedBug::VotesAfterRestart) {
             LeaseManager::in_view(state.now, Cluster::process(node), settings, self.view())
         } else {
             LeaseManager::new(state.now, ProcessId { ordinal: node, incarnation: 2 }, 2, settings)
@@ -172,8 +172,8 @@
         // A node that has crashed has checked no lease since, so the holder is the first incarnation.
         let holder = Cluster::process(node);
         let guard = &mut state.guards[usize::from(to)];
-        let accepted = match self.seeded_bug {
-            Some(SeededBug::NoFencing) => true,
+        let accepted = match self.injected_bug {
+            Some(InjectedBug::NoFencing) => true,
             _ => guard.accept(ROLE, term, holder).is_ok(),
         };
         if accepted {
@@ -274,8 +274,8 @@
             }
             Action::Resume(node) => {
                 state.paused[usize::from(node)] = false;
-                // If it had checked its lease before the pause, it acts on that result before it handles the
-                // time-out.
+                // If it had checked its lease before the pause, it acts on that result before it handles
+                // the timeout.
                 if state.checked[usize::from(node)].is_none() {
                     self.handle_timeout(&mut state, node);
                 }
--- a/crates/leases/tests/model/main.rs
+++ b/crates/leases/tests/model/main.rs
@@ -10,7 +10,7 @@
 use brackenledge_test_support::model_check::{
     assert_no_violation, bounded_checker, first_violation, max_states, random_runs,
 };
-use cluster::{Cluster, SeededBug, State};
+use cluster::{Cluster, InjectedBug, State};
 use properties::A_PROCESS_HOLDS_THE_ROLE;
 use stateright::Checker;
 
@@ -26,7 +26,7 @@
     pauses: 0,
     actions_left: 2,
     cut: None,
-    seeded_bug: None,
+    injected_bug: None,
 };
 
 /// Text for a state on the path to a violation.
@@ -78,18 +78,18 @@
     check_model("five", Cluster { nodes: 5, voters: 5, crashes: 1, pauses: 1, ticks: 9, ..BASE });
 }
 
-/// Guards against a model that is too weak: it must find a violation for each of these bugs.
+/// Guards against a model that is too weak: each injected bug must violate a property.
 #[test]
-fn each_seeded_bug_is_found() {
+fn each_injected_bug_is_found() {
     let table = [
-        (SeededBug::VotesAfterRestart, Cluster { crashes: 2, ..BASE }),
-        (SeededBug::LeaseGrantedTooEarly, BASE),
-        (SeededBug::NoFencing, Cluster { ticks: 14, actions_left: 3, duplicates: 0, delays: 0, ..BASE }),
+        (InjectedBug::VotesAfterRestart, Cluster { crashes: 2, ..BASE }),
+        (InjectedBug::LeaseGrantedTooEarly, BASE),
+        (InjectedBug::NoFencing, Cluster { ticks: 14, actions_left: 3, duplicates: 0, delays: 0, ..BASE }),
     ];
-    for (seeded_bug, model) in table {
-        let model = Cluster { seeded_bug: Some(seeded_bug), ..model };
+    for (injected_bug, model) in table {
+        let model = Cluster { injected_bug: Some(injected_bug), ..model };
         let violation = first_violation(&model, 1..=20, 40 * max_states(DEFAULT_MAX_STATES), describe);
-        println!("{seeded_bug:?}: found as a violation of {violation:?}");
-        assert!(violation.is_some(), "no violation found for {seeded_bug:?}");
+        println!("{injected_bug:?}: found as a violation of {violation:?}");
+        assert!(violation.is_some(), "no violation found for {injected_bug:?}");
     }
 }
