--- a/crates/daemon/src/net/admin_endpoint.rs
+++ b/crates/daemon/src/net/admin_endpoint.rs
@@ -30,7 +30,8 @@
 struct AdminClient {
     stream: BufferedStream,
     accepted_at: Millis,
-    /// Number in the order of acceptance: connections accepted in the same turn have the same `accepted_at`.
+    /// Number in the order of acceptance: connections accepted in the same iteration of the event loop have
+    /// the same `accepted_at`.
     serial: u64,
     /// Whether the reply is in the output buffer. Further input is then discarded.
     replied: bool,
@@ -206,7 +207,7 @@
             self.clients.remove(slot);
             return;
         }
-        // Input that has already arrived is handled in this turn.
+        // Input that has already arrived is handled in this iteration.
         self.on_ready(slot, cx);
     }
 
--- a/crates/daemon/src/net/backend/connection.rs
+++ b/crates/daemon/src/net/backend/connection.rs
@@ -34,7 +34,7 @@
     NotStarted,
     /// The request is in the output buffer, which shows how much of it has been written to the socket.
     Buffered,
-    /// The last byte has been written to the socket, and the engine has been told that the attempt is sent.
+    /// The last byte has been written to the socket, and the attempt has been reported to the engine as sent.
     Sent,
 }
 
@@ -99,8 +99,8 @@
     }
 
     /// Whether the request's last byte has been written to the socket. This is derived from the buffer: a
-    /// flag set when the event loop reports the write would be too late for a response read in the same turn,
-    /// and a job that may have run would be treated as one that never ran.
+    /// flag set when the event loop reports the write would be too late for a response read in the same
+    /// iteration, and a job that may have run would be treated as one that never ran.
     pub(super) fn is_request_written(&self) -> bool {
         self.request_progress != RequestProgress::NotStarted
             && self.withheld_byte.is_none()
@@ -108,8 +108,8 @@
     }
 
     /// Tells the engine that the attempt is sent, if the request's last byte has been written. A response may
-    /// be read in the same turn, before the write is reported, so every step that ends an attempt calls this
-    /// first.
+    /// be read in the same iteration, before the write is reported, so every step that ends an attempt calls
+    /// this first.
     pub(super) fn report_if_sent(&mut self, cx: &mut Context) {
         if let Some(Task::Attempt { id, .. }) = &self.task
             && self.request_progress == RequestProgress::Buffered
--- a/crates/daemon/src/net/backend/mod.rs
+++ b/crates/daemon/src/net/backend/mod.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Starts an attempt. The engine is told of its end exactly once, also if it can't be sent.
+    /// Starts an attempt. Its end is reported to the engine exactly once, also if it can't be sent.
     pub fn start_attempt(&mut self, attempt: Attempt, cx: &mut Context) {
         let Attempt { id, worker, request, deadlines } = attempt;
         let is_ready = cx.endpoints.is_ready(worker);
--- a/crates/daemon/src/net/event_loop.rs
+++ b/crates/daemon/src/net/event_loop.rs
@@ -138,8 +138,8 @@
 /// The poll, the clock and the alarm queue.
 pub struct EventLoop {
     poll: Poll,
-    /// Owners with more to read than one turn allows. The poll is edge-triggered and does not report them
-    /// again.
+    /// Owners with more to read than one iteration allows. The poll is edge-triggered and does not report
+    /// them again.
     requeued: Vec<Owner>,
     clock: Clock,
     alarms: BinaryHeap<Reverse<ScheduledAlarm>>,
@@ -191,8 +191,8 @@
     }
 
     /// Removes the next alarm that was due when the poll last returned, at `polled_at`. An event that came in
-    /// time is thereby handled before its timeout, however long a turn takes. Alarms that become due during
-    /// the turn wait for the next one, so they can't starve the poll.
+    /// time is thereby handled before its timeout, however long an iteration takes. Alarms that become due
+    /// during the iteration wait for the next one, so they can't starve the poll.
     pub fn pop_due_alarm(&mut self, polled_at: Millis) -> Option<Alarm> {
         let &Reverse(next) = self.alarms.peek()?;
         if next.due_at_micros as f64 > polled_at * 1_000.0 {
@@ -202,13 +202,14 @@
         Some(next.alarm)
     }
 
-    /// Schedules a call of this owner in the next turn, whether or not the poll reports it. If the owner is
-    /// closed before then and its token is reused, the new owner gets one spurious call.
+    /// Schedules a call of this owner in the next iteration, whether or not the poll reports it. If the owner
+    /// is closed before then and its token is reused, the new owner gets one spurious call.
     pub fn requeue(&mut self, owner: Owner) {
         self.requeued.push(owner);
     }
 
-    /// Removes and returns the owners to be called in this turn in addition to those that the poll reports.
+    /// Removes and returns the owners to be called in this iteration in addition to those that the poll
+    /// reports.
     pub fn take_requeued(&mut self) -> Vec<Owner> {
         std::mem::take(&mut self.requeued)
     }
--- a/crates/daemon/src/net/event_loop/connection.rs
+++ b/crates/daemon/src/net/event_loop/connection.rs
@@ -2,15 +2,15 @@
 
 use crate::net::buffered_stream::{BufferedStream, StreamState};
 
-/// Maximum number of bytes read from one connection in one turn of the event loop. Without it, a peer that
-/// sends as fast as it is read would starve all other connections and the alarms.
-const MAX_BYTES_PER_TURN: usize = 64 * 1024;
+/// Maximum number of bytes read from one connection in one iteration of the event loop. Without it, a peer
+/// that sends as fast as it is read would starve all other connections and the alarms.
+const MAX_BYTES_PER_ITERATION: usize = 64 * 1024;
 
 /// What the event loop does with a connection after a callback.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Flow {
     Keep,
-    /// Keep the connection and drive it again in the next turn: there may be more to read.
+    /// Keep the connection and drive it again in the next iteration: there may be more to read.
     Requeue,
     Close,
 }
@@ -42,7 +42,7 @@
 }
 
 /// Completes a pending connect if possible, then writes output and reads input with the callbacks for it,
-/// until the socket is drained, the input buffer is full, or [`MAX_BYTES_PER_TURN`] are read.
+/// until the socket is drained, the input buffer is full, or [`MAX_BYTES_PER_ITERATION`] are read.
 pub fn drive<C>(connection: &mut dyn Connection<C>, context: &mut C) -> Flow {
     if connection.is_connecting() {
         match finish_connecting(connection, context) {
@@ -53,7 +53,7 @@
     }
     // After a failed write there may still be input to read, such as a response.
     let is_writable = connection.stream().flush().is_ok();
-    let mut bytes_left = MAX_BYTES_PER_TURN;
+    let mut bytes_left = MAX_BYTES_PER_ITERATION;
     while bytes_left > 0 {
         match read_and_write(connection, context, is_writable, bytes_left) {
             Transfer::More { bytes_read } => bytes_left = bytes_left.saturating_sub(bytes_read),
--- a/crates/daemon/src/net/events.rs
+++ b/crates/daemon/src/net/events.rs
@@ -15,7 +15,7 @@
 const FAILOVER_INTERVAL: Millis = 20.0;
 
 impl Scheduler<'_> {
-    /// Handles a readiness event, or a requeued owner that has more to read than its last turn allowed.
+    /// Handles a readiness event, or a requeued owner that has more to read than its last call allowed.
     pub(super) fn on_event(&mut self, owner: Owner) {
         let cx = &mut context!(self);
         match owner {
--- a/crates/daemon/src/net/frontend/connection.rs
+++ b/crates/daemon/src/net/frontend/connection.rs
@@ -136,9 +136,9 @@
         if over_limit { Flow::Close } else { Flow::Keep }
     }
 
-    // A client that closes its sending half counts as disconnected: a close and a half-close can't be told
-    // apart, and a job whose client has disconnected must not be retried. `Frontend::remove` abandons the
-    // job, as for any other end.
+    // A client that closes its sending half counts as disconnected: a close and a half-close can't be
+    // distinguished, and a job whose client has disconnected must not be retried. `Frontend::remove` abandons
+    // the job, as for any other end.
     fn on_end(&mut self, _: &mut Context) {}
 
     fn max_input(&self) -> usize {
--- a/crates/daemon/src/net/frontend/request_reader.rs
+++ b/crates/daemon/src/net/frontend/request_reader.rs
@@ -67,7 +67,7 @@
         self.discarded += length;
     }
 
-    /// Reads a head. Returns whether the state has changed, so that reading goes on.
+    /// Reads a head. Returns whether the state has changed, so that reading continues.
     fn read_head(&mut self, cx: &mut Context) -> bool {
         let input = self.stream.buffer.input();
         // A client that keeps sending without reading its responses must not exhaust the memory.
--- a/crates/daemon/src/net/start_error.rs
+++ b/crates/daemon/src/net/start_error.rs
@@ -8,7 +8,7 @@
 use std::io;
 use std::net::SocketAddr;
 
-/// The reason why a scheduler can't start, or exits without having been told to.
+/// The reason why a scheduler can't start, or exits without a request to shut down.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The poll can't be created, or waiting for events failed.
--- a/crates/daemon/tests/connection_limits.rs
+++ b/crates/daemon/tests/connection_limits.rs
@@ -46,7 +46,8 @@
             client
         })
         .collect();
-    // The scheduler accepts all of these in one turn, before any of them has sent a request.
+    // The scheduler accepts all of these in one iteration of its event loop, before any of them has sent a
+    // request.
     scheduler.signal("-STOP");
     let mut fresh: Vec<TcpStream> = (0..40).map(|_| scheduler.connect()).collect();
     scheduler.resume();
--- a/crates/daemon/tests/pipelined_disconnects.rs
+++ b/crates/daemon/tests/pipelined_disconnects.rs
@@ -75,7 +75,8 @@
         read_message(&mut attempt);
         send(&mut client, &job_request("view", "e2", "x"));
         scheduler.wait_for_pending_jobs(1.0);
-        // The scheduler handles the response and the client's disconnect in one turn.
+        // The scheduler handles the response and the client's disconnect in one iteration of its event
+        // loop.
         scheduler.signal("-STOP");
         send(&mut attempt, &served_response("e1", "yes"));
         drop(client);
--- a/crates/daemon/tests/worker_responses.rs
+++ b/crates/daemon/tests/worker_responses.rs
@@ -132,7 +132,8 @@
 #[test]
 fn a_late_duplicate_response_is_not_taken_for_the_response_to_the_next_request() {
     let (scheduler, worker) = scheduler_with_one_worker();
-    // Both requests are pipelined: the second attempt starts in the turn that reads the first response.
+    // Both requests are pipelined: the second attempt starts in the event loop iteration that reads the
+    // first response.
     let mut client = scheduler.send_request(&format!(
         "{}{}",
         job_request("sale", "d1", "x"),
--- a/crates/failover/src/client_job.rs
+++ b/crates/failover/src/client_job.rs
@@ -27,7 +27,7 @@
     pub(crate) number: u32,
     /// The first version of the record that contains the attempt.
     pub(crate) version: u32,
-    /// The attempt expires if it is not permitted by then.
+    /// The attempt expires if it has not been permitted by this time.
     pub(crate) deadline: Micros,
 }
 
--- a/crates/failover/src/coordinator/takeover.rs
+++ b/crates/failover/src/coordinator/takeover.rs
@@ -16,7 +16,7 @@
     /// The owner is gone, the deadline has passed, and the job may have run: record that it failed, so that a
     /// late submission does not run it again.
     Fail,
-    /// Drop it: the deadline has passed, so nobody waits for the job, or its owner no longer has it.
+    /// Drop it: the deadline has passed, so no client waits for the job, or its owner no longer has it.
     Drop,
 }
 
--- a/crates/failover/src/discarded_claims.rs
+++ b/crates/failover/src/discarded_claims.rs
@@ -40,7 +40,7 @@
 }
 
 impl Failover {
-    /// Tells the coordinator that the record of a claim is no longer needed, and remembers the claim if its
+    /// Tells the coordinator that the record of a claim is no longer needed, and stores the claim if its
     /// class requires acknowledgements.
     pub(crate) fn send_discard(&mut self, key: &JobKey, claim_id: u64, urgent: bool) {
         let replicated = self.jobs.get(key).filter(|job| job.record.requires_ack);
--- a/crates/failover/src/job_owner/mod.rs
+++ b/crates/failover/src/job_owner/mod.rs
@@ -144,7 +144,7 @@
         self.send_with(coordinator, Message::ClaimRequest { term, record }, urgent);
     }
 
-    /// Tells the driver to run a job, unless it has been told so already.
+    /// Tells the driver to run a job, unless this has been done already.
     fn start_job(&mut self, now: Micros, key: &JobKey) {
         let Some(job) = self.jobs.get_mut(key).filter(|job| !job.started) else { return };
         job.started = true;
@@ -230,7 +230,7 @@
     }
 
     /// Marks a pending job if its claim may have been granted and another process may have taken the job over
-    /// without this process having been told.
+    /// without this process having received a message about it.
     fn mark_if_possibly_lost(&mut self, now: Micros, key: &JobKey) {
         let pending = self.jobs.get(key).filter(|job| job.state == ClaimState::Pending);
         let since = pending.map(|job| job.timer_started_at);
--- a/crates/failover/src/member_list.rs
+++ b/crates/failover/src/member_list.rs
@@ -88,7 +88,7 @@
 
     /// Whether the local member lease has expired after `since` and is not valid now. If so, a claim made at
     /// `since` may have been granted, and another process may have taken the job over, without this process
-    /// having been told.
+    /// having received a message about it.
     pub(crate) fn lease_lapsed_since(&self, now: Micros, since: Micros) -> bool {
         self.latest_lease_expiry > since && !self.holds_lease(now)
     }
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -35,7 +35,7 @@
 //!
 //! A member may also hold a *member lease*. If the member does not renew it, the leader removes it from the
 //! member list until it requests a lease again. While the lease lasts by the member's own clock, no leader
-//! has published a list without it. Whatever others do because a list lacks that member therefore happens
+//! has published a list without it. Actions that others take because a list lacks that member therefore happen
 //! after the member has stopped by itself. A new leader does not know which leases its predecessor granted,
 //! so it keeps every member of the last list for the length of one member lease, except the previous leader,
 //! whose member lease is its leader's lease. This does not cover a process that joined so recently that the
--- a/crates/leases/src/settings.rs
+++ b/crates/leases/src/settings.rs
@@ -1,8 +1,8 @@
-//! Cluster size, lease durations and time-outs.
+//! Cluster size, lease durations and timeouts.
 
 use crate::{Micros, Role};
 
-/// Cluster size, lease durations and time-outs. All processes of a cluster must use the same values.
+/// Cluster size, lease durations and timeouts. All processes of a cluster must use the same values.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// Number of configured schedulers, alive or not.
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -137,7 +137,7 @@
     pub max_retry_after: Millis,
     /// The maximum number of attempts for one job.
     pub max_attempts: usize,
-    /// Time-out for establishing a connection.
+    /// Timeout for establishing a connection.
     pub connect_timeout: Millis,
     /// Grace period after a client's deadline in which a final answer still counts.
     pub answer_slack: Millis,
--- a/crates/test-cluster/src/cluster/event_loop.rs
+++ b/crates/test-cluster/src/cluster/event_loop.rs
@@ -169,7 +169,7 @@
         let Context { scenario, runtime, supervisor, .. } = &mut self.context;
         runtime.clock.start_traffic();
         self.cpu_ms_at_traffic_start = supervisor.cpu_ms();
-        // Events from the start-up phase are not judged.
+        // Events from the startup phase are not judged.
         runtime.history.clear();
         runtime.timers.schedule(runtime.clock.cluster_time_of(0.0), Timer::NextJob);
         for (number, fault) in scenario.faults.iter().enumerate() {
--- a/crates/test-cluster/src/cluster/fault_injector.rs
+++ b/crates/test-cluster/src/cluster/fault_injector.rs
@@ -12,8 +12,8 @@
 use rustix::process::Signal;
 use std::collections::BTreeSet;
 
-/// After a reset or half-close of client connections, missing responses from their scheduler are excused for
-/// this long.
+/// After a reset or half-close of client connections, requests without a response from their scheduler are
+/// exempted from the rule on answers for this long.
 const BROKEN_CONNECTION_GRACE: Millis = 500.0;
 
 /// Whether a fault begins or ends.
--- a/crates/test-cluster/src/cluster/mod.rs
+++ b/crates/test-cluster/src/cluster/mod.rs
@@ -84,7 +84,8 @@
 pub struct Outcome {
     /// Events that the stand-ins and the proxy observed since the start of traffic, in order.
     pub history: Vec<HistoryEvent>,
-    /// A description of each process that exited without being told to, with the last lines of its log.
+    /// A description of each process that exited without a signal from the test cluster, with the last lines
+    /// of its log.
     pub crashed: Vec<String>,
     /// Ids of all processes that were started; all have ended when the outcome is returned.
     pub process_ids: Vec<u32>,
--- a/crates/test-cluster/src/cluster/supervisor.rs
+++ b/crates/test-cluster/src/cluster/supervisor.rs
@@ -100,7 +100,7 @@
     schedulers: Vec<Scheduler>,
     /// Log lines of the processes, each prefixed with traffic time (-1 before traffic) and the scheduler.
     pub log: Vec<String>,
-    /// A description of each process that exited without being told to.
+    /// A description of each process that exited without a signal from the test cluster.
     pub crashed: Vec<String>,
     /// Ids of all processes started so far.
     pub process_ids: Vec<u32>,
@@ -204,8 +204,8 @@
         }
     }
 
-    /// Removes a process that has ended. If nothing had told it to end, it is reported as crashed, which
-    /// fails the run before the start of traffic.
+    /// Removes a process that has ended. If the test cluster had not ended it, it is reported as crashed,
+    /// which fails the run before the start of traffic.
     fn remove(&mut self, runtime: &mut Runtime, slot: ProcessSlot) {
         let Some(running) = self.schedulers[slot.scheduler].process(slot.kind).take() else { return };
         let RunningProcess { mut process, token } = running;
--- a/crates/test-cluster/src/error.rs
+++ b/crates/test-cluster/src/error.rs
@@ -103,7 +103,7 @@
     pub scheduler: usize,
     /// Whether it has logged that it serves.
     pub is_serving: bool,
-    /// Whether the front proxy believes it to be up, and so sends it clients.
+    /// Whether the front proxy's health checks find it up, so that it is sent clients.
     pub is_up: bool,
     /// Whether its jobs are replicated. Also true if the scenario uses no failover.
     pub is_replicating: bool,
--- a/crates/test-cluster/src/stand_ins/clients.rs
+++ b/crates/test-cluster/src/stand_ins/clients.rs
@@ -124,7 +124,7 @@
     }
 
     /// Handles the end of a request. Rejections and lost connections are retried while requests and time are
-    /// left, failures and time-outs are not. `retry_after` is the pause that a rejection asks for.
+    /// left, failures and timeouts are not. `retry_after` is the pause that a rejection asks for.
     pub fn handle_request_end(
         &mut self,
         now: Millis,
