--- a/crates/adapter/tests/adapter.rs
+++ b/crates/adapter/tests/adapter.rs
@@ -24,9 +24,10 @@
     text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect()
 }
 
+/// A boot event; the adapter ignores `unknown-setting`.
 fn boot(dispatcher: &str) -> Value {
     json!({"Boot": {"dispatcher": dispatcher, "rng-seed": 7, "settings": {
-        "balancers": 1, "unheard-of": {"a": 1},
+        "balancers": 1, "unknown-setting": {"a": 1},
         "classes": [{"effect": "side_effect", "goal-time": 300.0, "hard-limit": 5000.0, "name": "c"}],
         "limits": {"max-attempts": 3}}}})
 }
@@ -36,12 +37,14 @@
         [{"runner": runner, "area": 0, "kind": 0, "pack": 0, "readiness": "active", "weight": 1}]}})
 }
 
-fn list(dispatcher: &str, kind: &str, slot: u32) -> Value {
+fn list_update(dispatcher: &str, kind: &str, slot: u32) -> Value {
     json!({"BackendsChanged": {"dispatcher": dispatcher, "kind": kind, "stamp": 1, "slot": slot}})
 }
 
+/// An event that submits a job; the adapter ignores `unknown-field`.
 fn ask(dispatcher: &str, id: u32) -> Value {
-    json!({"Ask": {"dispatcher": dispatcher, "op-id": id, "category": 0, "left": 5000.0, "new-field": []}})
+    json!({"Ask": {"dispatcher": dispatcher, "op-id": id, "category": 0, "left": 5000.0,
+        "unknown-field": []}})
 }
 
 fn actions_named<'a>(reply: &'a Value, name: &str) -> Vec<&'a Value> {
@@ -50,7 +53,7 @@
 }
 
 #[test]
-fn an_empty_batch_is_answered_with_its_round() {
+fn an_empty_batch_is_answered_with_its_round_number() {
     let reply = replies(&[json!({"sim-time": 1.5, "round": 12, "happened": []})]);
     assert_eq!(reply, [json!({"round": 12, "outbox": []})]);
 }
@@ -58,21 +61,21 @@
 #[test]
 fn a_job_is_placed_on_the_worker_in_the_list() {
     let happened =
-        json!([boot("d/0"), directory(0, "r.a"), list("d/0", "cached", 0), ask("d/0", 4_000_000_000)]);
+        json!([boot("d/0"), directory(0, "r.a"), list_update("d/0", "cached", 0), ask("d/0", 4_000_000_000)]);
     let reply = replies(&[json!({"sim-time": 1.0, "round": 1, "happened": happened})]);
     let placed = actions_named(&reply[0], "Place");
     assert_eq!(placed, [&json!({"dispatcher": "d/0", "op-id": 4_000_000_000u32, "runner": "r.a"})]);
 }
 
 #[test]
-fn a_directory_slot_refers_to_the_directory_stored_last() {
+fn a_list_update_uses_the_directory_last_stored_in_its_slot() {
     let happened = json!([
         boot("d/0"),
         directory(3, "r.a"),
-        list("d/0", "cached", 3),
+        list_update("d/0", "cached", 3),
         boot("d/1"),
         directory(3, "r.b"),
-        list("d/1", "cached", 3),
+        list_update("d/1", "cached", 3),
         ask("d/0", 1),
         ask("d/1", 2)
     ]);
@@ -84,12 +87,13 @@
 
 #[test]
 fn a_kill_and_boot_in_one_batch_discard_the_actions_of_the_killed_instance() {
-    let first = json!([boot("d/0"), directory(0, "r.a"), list("d/0", "cached", 0)]);
+    let setup_events = json!([boot("d/0"), directory(0, "r.a"), list_update("d/0", "cached", 0)]);
     let kill = json!({"Kill": {"dispatcher": "d/0"}});
-    let second = json!([ask("d/0", 1), kill, boot("d/0"), list("d/0", "cached", 0), ask("d/0", 2)]);
+    let restart_events =
+        json!([ask("d/0", 1), kill, boot("d/0"), list_update("d/0", "cached", 0), ask("d/0", 2)]);
     let reply = replies(&[
-        json!({"sim-time": 1.0, "round": 1, "happened": first}),
-        json!({"sim-time": 2.0, "round": 2, "happened": second}),
+        json!({"sim-time": 1.0, "round": 1, "happened": setup_events}),
+        json!({"sim-time": 2.0, "round": 2, "happened": restart_events}),
     ]);
     let placed: Vec<u64> =
         actions_named(&reply[1], "Place").iter().filter_map(|action| action["op-id"].as_u64()).collect();
@@ -97,13 +101,14 @@
 }
 
 #[test]
-fn all_outcomes_and_late_responses_are_accepted() {
+fn no_outcome_or_repeated_response_is_fatal() {
     for code in [200, 502, 429, 408, 521, 520, 444, 409] {
         let response = json!({"Response": {"dispatcher": "d/0", "op-id": 1, "runner": "r.a", "code": code,
             "leg": 0, "settled": code == 200, "took": 3.0,
             "telemetry": {"x0": -1, "load_share": null, "q": 1}}});
         let happened = json!([
-            boot("d/0"), directory(0, "r.a"), list("d/0", "full", 0), ask("d/0", 1), response, response,
+            boot("d/0"), directory(0, "r.a"), list_update("d/0", "full", 0), ask("d/0", 1),
+            response, response,
             {"TimedOutClient": {"dispatcher": "d/0", "op-id": 99}},
             {"Change": {"dispatcher": "d/0", "op-id": 1, "leg": 0, "runner": "r.a", "sort": 9}},
             {"BackendsChanged": {"dispatcher": "d/0", "kind": "failed", "stamp": 1}},
@@ -131,7 +136,7 @@
             "line 1: event for instance \"d/9\", which is not booted\n",
         ),
         (batch(&[directory(16, "r.a")]), "line 1: directory slot 16 out of range\n"),
-        (batch(&[boot("d/0"), list("d/0", "full", 3)]), "line 1: directory slot 3 is empty\n"),
+        (batch(&[boot("d/0"), list_update("d/0", "full", 3)]), "line 1: directory slot 3 is empty\n"),
         (batch(&[boot("d/0"), without_slot]), "line 1: BackendsChanged event without a directory slot\n"),
         (batch(&[boot("d/0"), unknown_code]), "line 1: unknown outcome code 418\n"),
     ];
--- a/crates/daemon/tests/client_disconnects.rs
+++ b/crates/daemon/tests/client_disconnects.rs
@@ -14,7 +14,7 @@
     SYN_RETRANSMISSION_TIMEOUT, Scheduler, TEST_TIMEOUT, accept, address_of, bind_loopback, endpoint,
     endpoint_list, is_closed, job_request, job_with_time_left, line_chunk, ms, read_message, received_within,
     reset_connection, scheduler_with_one_worker, send, served_response, set_in_each_class, settings,
-    settings_without_cancelling, start_scheduler, with_time_left, worker_with_full_backlog,
+    settings_that_cancel_no_attempt, start_scheduler, with_time_left, worker_with_full_backlog,
 };
 
 #[test]
@@ -40,7 +40,7 @@
 #[test]
 fn a_job_whose_client_disconnects_while_the_attempt_connects_is_not_sent() {
     let (worker, first) = worker_with_full_backlog();
-    let scheduler = start_scheduler(settings_without_cancelling(), &worker);
+    let scheduler = start_scheduler(settings_that_cancel_no_attempt(), &worker);
     let client = scheduler.send_request(&job_with_time_left("sale", "c1", 60_000));
     scheduler.wait_for_pending_jobs(1.0);
     drop(client);
@@ -57,7 +57,8 @@
     // No worker is ready yet.
     let worker = bind_loopback();
     let at = address_of(&worker);
-    let scheduler = Scheduler::start_with(settings_without_cancelling(), &[endpoint("s-a", at, "draining")]);
+    let scheduler =
+        Scheduler::start_with(settings_that_cancel_no_attempt(), &[endpoint("s-a", at, "draining")]);
     let (_, mut watch) =
         scheduler.accept_watch(&[endpoint_list(2, true, &[endpoint("s-a", at, "draining")])]);
     let client = scheduler.send_request(&job_with_time_left("view", "q1", 60_000));
@@ -72,7 +73,7 @@
 #[test]
 fn a_job_returned_unstarted_after_its_client_disconnected_is_not_retried() {
     for class in ["view", "sale", "buy"] {
-        let mut settings = settings_without_cancelling();
+        let mut settings = settings_that_cancel_no_attempt();
         // A worker that has returned a job is selected again after a fraction of this time.
         set_in_each_class(&mut settings, "goal-time", 400.0);
         let worker = bind_loopback();
@@ -114,7 +115,7 @@
 #[test]
 fn a_job_whose_client_disconnects_before_its_last_byte_is_sent_is_never_complete() {
     let worker = bind_loopback();
-    let scheduler = start_scheduler(settings_without_cancelling(), &worker);
+    let scheduler = start_scheduler(settings_that_cancel_no_attempt(), &worker);
     let idle = scheduler.assert_serves(&worker, "b0");
     withhold_last_bytes(&scheduler, &worker, idle);
     let mut observed = 0;
--- a/crates/daemon/tests/connection_limits.rs
+++ b/crates/daemon/tests/connection_limits.rs
@@ -179,7 +179,7 @@
     let to_worker = before.iter().filter(|&&(peer, _)| peer == address_of(&worker));
     assert!(to_worker.count() >= 2, "before SIGTERM: {before:?}");
     assert!(before.iter().all(|&(_, no_delay)| no_delay), "before SIGTERM: {before:?}");
-    scheduler.terminate();
+    scheduler.send_sigterm();
     let open = open_connections(&scheduler);
     let is_connected = |at: SocketAddr| open.iter().any(|&(peer, _)| peer == at);
     let client_address = client.local_addr().expect("local_addr");
--- a/crates/daemon/tests/deadlines.rs
+++ b/crates/daemon/tests/deadlines.rs
@@ -10,7 +10,7 @@
     SYN_RETRANSMISSION_TIMEOUT, accept, address_of, bind_loopback, closing_job, count_responses, is_closed,
     job_request, job_with_time_left, ms, read_message, read_to_close, received_within, reset_connection,
     scheduler_with_one_worker, send, served_response, set_in_each_class, settings,
-    settings_without_cancelling, start_scheduler, time_left_sent, trace_id, with_time_left,
+    settings_that_cancel_no_attempt, start_scheduler, time_left_sent, trace_id, with_time_left,
     worker_with_full_backlog,
 };
 
@@ -117,7 +117,7 @@
 #[test]
 fn a_job_that_expires_while_its_attempt_connects_is_rejected_and_never_sent() {
     let (worker, first) = worker_with_full_backlog();
-    let mut settings = settings_without_cancelling();
+    let mut settings = settings_that_cancel_no_attempt();
     set_in_each_class(&mut settings, "hard-limit", 700.0);
     let scheduler = start_scheduler(settings, &worker);
     for class in ["view", "sale", "buy"] {
--- a/crates/daemon/tests/retries.rs
+++ b/crates/daemon/tests/retries.rs
@@ -11,8 +11,8 @@
     RESPONSE_HEAD, SYN_RETRANSMISSION_TIMEOUT, Scheduler, TEST_TIMEOUT, accept, address_of, bind_loopback,
     chunk, closing_job, count_attempts, count_responses, endpoint, job_request, job_with_time_left, ms,
     next_request, read_message, read_to_close, received_within, reset_connection, scheduler_with_one_worker,
-    send, served_response, settings, settings_without_cancelling, spawn_worker, start_scheduler,
-    start_scheduler_at, wait_for_reuse, wait_until_read, worker_with_full_backlog,
+    send, served_response, settings, settings_that_cancel_no_attempt, spawn_worker, start_scheduler,
+    start_scheduler_at, wait_until_read, wait_until_worker_connection_is_reusable, worker_with_full_backlog,
 };
 
 #[test]
@@ -101,7 +101,7 @@
         send(&mut attempt, &served_response(id, "result"));
         assert!(read_message(&mut client).ends_with("\r\n\r\nresult"));
         idle = Some(attempt);
-        wait_for_reuse();
+        wait_until_worker_connection_is_reusable();
     }
 }
 
@@ -185,7 +185,7 @@
 
 #[test]
 fn a_retry_that_connects_after_its_retry_window_is_not_sent() {
-    let mut settings = settings_without_cancelling();
+    let mut settings = settings_that_cancel_no_attempt();
     settings["classes"][2]["window"] = json!(500.0);
     let (worker, first) = worker_with_full_backlog();
     let scheduler = start_scheduler(settings, &worker);
--- a/crates/daemon/tests/shutdown_races.rs
+++ b/crates/daemon/tests/shutdown_races.rs
@@ -25,12 +25,12 @@
     for (n, client) in clients.iter_mut().enumerate() {
         assert_served_on(client, &job_with_time_left("view", &format!("before{n}"), 1_500));
     }
-    let terminated_at = scheduler.terminate();
+    let sigterm_at = scheduler.send_sigterm();
     // The scheduler closes idle connections 0.6 * 1.9 s = 1.14 s after SIGTERM, which takes some milliseconds
     // for this many. Around that time, four clients send in each millisecond.
     let send_at_close = |(n, mut client): (usize, TcpStream)| {
         std::thread::spawn(move || {
-            sleep_until(terminated_at + ms(1_140 - 40) + ms(n as u64) / 4);
+            sleep_until(sigterm_at + ms(1_140 - 40) + ms(n as u64) / 4);
             let _ = client.write_all(job_with_time_left("sale", &format!("at{n}"), 1_500).as_bytes());
             (format!("at{n}"), read_to_close(&mut client).0)
         })
@@ -50,7 +50,7 @@
         served += attempts;
     }
     assert!(served > 0, "no request arrived before the close");
-    assert!(scheduler.wait_for_exit().success() && Instant::now() < sigkill_time(terminated_at, 1_500));
+    assert!(scheduler.wait_for_exit().success() && Instant::now() < sigkill_time(sigterm_at, 1_500));
 }
 
 #[test]
@@ -64,16 +64,16 @@
     read_message(&mut attempt);
     send(&mut attempt, &served_response("r0", "yes"));
     assert!(read_message(&mut client).starts_with("HTTP/1.1 200 "));
-    let terminated_at = scheduler.terminate();
+    let sigterm_at = scheduler.send_sigterm();
     // The scheduler is stopped at the time of the close. The request arrives before that time and is read
     // after it.
-    sleep_until(terminated_at + ms(900));
+    sleep_until(sigterm_at + ms(900));
     scheduler.signal("-STOP");
     send(&mut client, &job_with_time_left("sale", "r1", 1_500));
-    sleep_until(terminated_at + ms(1_250));
+    sleep_until(sigterm_at + ms(1_250));
     scheduler.resume();
     let (text, _) = read_to_close(&mut client);
-    assert!(Instant::now() < sigkill_time(terminated_at, 1_500), "{text}");
+    assert!(Instant::now() < sigkill_time(sigterm_at, 1_500), "{text}");
     // The worker does not respond, so a response can only be an error from the scheduler itself.
     let received = received_within(&worker, vec![attempt], ms(100));
     let is_answered = count_responses(&text) == 1 && text.starts_with("HTTP/1.1 50");
@@ -87,15 +87,15 @@
     let worker = bind_loopback();
     let mut scheduler = start_scheduler(settings_with_deadline(800.0), &worker);
     scheduler.wait_until_ready();
-    let terminated_at = scheduler.terminate();
+    let sigterm_at = scheduler.send_sigterm();
     // The job's own deadline is 1.3 s after SIGTERM, later than the shutdown's answer deadline at 1.2 s.
-    sleep_until(terminated_at + ms(500));
+    sleep_until(sigterm_at + ms(500));
     let mut hung = scheduler.send_request(&job_with_time_left("sale", "l1", 800));
     let mut attempt = accept(&worker);
     read_message(&mut attempt);
     let answer = read_message(&mut hung);
     assert!(
-        answer.starts_with("HTTP/1.1 502 ") && Instant::now() < sigkill_time(terminated_at, 800),
+        answer.starts_with("HTTP/1.1 502 ") && Instant::now() < sigkill_time(sigterm_at, 800),
         "{answer}"
     );
     // As long as this client keeps its connection open, the process does not exit.
@@ -122,10 +122,10 @@
     send(&mut client, &job_with_time_left("sale", "u1", 1_500));
     let mut attempt = accept(&worker);
     read_message(&mut attempt);
-    let terminated_at = scheduler.terminate();
+    let sigterm_at = scheduler.send_sigterm();
     send(&mut client, &job_with_time_left("view", "u2", 1_500));
     // Idle connections have been closed by then.
-    sleep_until(terminated_at + ms(1_250));
+    sleep_until(sigterm_at + ms(1_250));
     let large = "z".repeat(60_000);
     send(&mut attempt, &served_response("u1", &large));
     // While the response is still being sent, another request arrives, with much data that is never read.
@@ -164,7 +164,7 @@
     let response = served_response("h1", "yes");
     let (front, last) = response.split_at(response.len() - 40);
     send(&mut attempt, front);
-    let terminated_at = scheduler.terminate();
+    let sigterm_at = scheduler.send_sigterm();
     let status = match rest {
         LineRest::NeverArrives => "502",
         LineRest::Reset => {
@@ -172,16 +172,16 @@
             "502"
         }
         LineRest::ArrivesAtTheLastMoment => {
-            sleep_until(terminated_at + ms(500));
+            sleep_until(sigterm_at + ms(500));
             scheduler.signal("-STOP");
             send(&mut attempt, last);
-            sleep_until(terminated_at + ms(1_250));
+            sleep_until(sigterm_at + ms(1_250));
             scheduler.resume();
             "200"
         }
     };
     let (text, _) = read_to_close(&mut client);
-    assert!(Instant::now() < sigkill_time(terminated_at, deadline), "{rest:?}: {text}");
+    assert!(Instant::now() < sigkill_time(sigterm_at, deadline), "{rest:?}: {text}");
     assert!(
         count_responses(&text) == 1 && text.starts_with(&format!("HTTP/1.1 {status} ")),
         "{rest:?}: {text:?}"
@@ -212,7 +212,7 @@
     let scheduler = start_scheduler(settings_with_deadline(1_500.0), &worker);
     scheduler.wait_until_ready();
     let mut idle = scheduler.assert_serves(&worker, "i0");
-    scheduler.terminate();
+    scheduler.send_sigterm();
     // Before the scheduler reads again, half a response line that belongs to no request and the next request
     // have both arrived.
     scheduler.signal("-STOP");
--- a/crates/daemon/tests/support/log_calls.rs
+++ b/crates/daemon/tests/support/log_calls.rs
@@ -1,13 +1,16 @@
-//! The calls in the program's source that write to the log. Most events can't be provoked in a test.
+//! The calls in the program's source that write to the log. Tests check these calls, since most events can't
+//! be provoked in a test.
 
 use std::path::Path;
 
-/// The names of these calls.
-const NAMES: [&str; 9] =
+/// The macros and functions whose calls are collected. `o!` writes nothing: it gives a logger fields for all
+/// its events. It has no event, so the key of its first field stands in the event's place.
+const CALL_NAMES: [&str; 9] =
     ["crit!", "error!", "warn!", "info!", "debug!", "trace!", "log!", "o!", "log_counters"];
 
-/// The calls in the source, sorted, such as `info leadership_lost: reason 'later_ballot' leader`: the level,
-/// the event, and its fields in source order. Literal values are in quotes.
+/// The calls in the source, sorted, such as `info leadership_lost: reason 'later_ballot' leader`: the macro
+/// or function, the event, and its fields in source order. A field's value follows it, in quotes, if the
+/// value is a literal.
 pub fn log_calls() -> Vec<String> {
     let mut calls = Vec::new();
     collect_in(&Path::new(env!("CARGO_MANIFEST_DIR")).join("src"), &mut calls);
@@ -28,15 +31,15 @@
 }
 
 fn collect(source: &str, calls: &mut Vec<String>) {
-    for name in NAMES {
+    for name in CALL_NAMES {
         let open = format!("{name}(");
         for (at, _) in source.match_indices(&open) {
-            // The end of a longer name.
+            // Leaves out matches at the end of a longer name.
             if source[..at].ends_with(|before: char| before.is_alphanumeric() || before == '_') {
                 continue;
             }
             let call = name.trim_end_matches('!').to_owned() + &literals(&source[at + open.len()..]);
-            // Without an event: the definition of `log_counters`, or a logger without fields.
+            // Leaves out what has no event: the definition of `log_counters`, and a logger without fields.
             if call.contains(':') {
                 calls.push(call);
             }
@@ -44,8 +47,8 @@
     }
 }
 
-/// The literals in the rest of a call whose parenthesis is open. Code and literals alternate between quotes,
-/// since no literal in these calls has an escaped quote.
+/// The literals in a call; `rest` begins after the call's opening parenthesis. Splitting at quotes gives code
+/// and literals in turn, since no literal in these calls has an escaped quote.
 fn literals(rest: &str) -> String {
     let (mut text, mut depth) = (String::new(), 1);
     let mut pieces = rest.split('"').peekable();
--- a/crates/daemon/tests/support/scheduler.rs
+++ b/crates/daemon/tests/support/scheduler.rs
@@ -266,7 +266,7 @@
     }
 
     /// Sends SIGTERM. Returns the time just after that.
-    pub fn terminate(&self) -> Instant {
+    pub fn send_sigterm(&self) -> Instant {
         self.signal("-TERM");
         Instant::now()
     }
@@ -374,6 +374,6 @@
 
 /// The time at which the platform would send SIGKILL: after SIGTERM it waits for the longest deadline of the
 /// settings, 3 s at most, and 700 ms more.
-pub fn sigkill_time(terminated_at: Instant, max_deadline: u64) -> Instant {
-    terminated_at + ms(max_deadline.min(3_000) + 700)
+pub fn sigkill_time(sigterm_at: Instant, max_deadline: u64) -> Instant {
+    sigterm_at + ms(max_deadline.min(3_000) + 700)
 }
--- a/crates/daemon/tests/support/settings.rs
+++ b/crates/daemon/tests/support/settings.rs
@@ -45,7 +45,7 @@
 }
 
 /// Like [`settings_without_timeouts`], and running attempts can't be cancelled.
-pub fn settings_without_cancelling() -> Value {
+pub fn settings_that_cancel_no_attempt() -> Value {
     let mut settings = settings_without_timeouts();
     settings["limits"]["cancelling"] = json!(false);
     settings
--- a/crates/daemon/tests/support/worker.rs
+++ b/crates/daemon/tests/support/worker.rs
@@ -22,8 +22,8 @@
     socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().expect("an address").into()).expect("a free port");
     socket.listen(0).expect("listen");
     let listener = TcpListener::from(socket);
-    let first = TcpStream::connect(address_of(&listener)).expect("room for one connection");
-    (listener, first)
+    let backlog_connection = TcpStream::connect(address_of(&listener)).expect("room for one connection");
+    (listener, backlog_connection)
 }
 
 /// Returns everything that a worker receives within this time, on new connections and on the open ones given.
@@ -118,6 +118,6 @@
 
 /// Waits until any job may reuse a worker connection: only jobs that may run any number of times do so within
 /// 20 ms of its last response.
-pub fn wait_for_reuse() {
+pub fn wait_until_worker_connection_is_reusable() {
     std::thread::sleep(ms(60));
 }
--- a/crates/daemon/tests/worker_responses.rs
+++ b/crates/daemon/tests/worker_responses.rs
@@ -11,7 +11,7 @@
     RESPONSE_HEAD, TEST_TIMEOUT, accept, bind_loopback, chunk, closing_job, count_responses, is_closed,
     job_request, job_with_time_left, line_chunk, ms, next_request_on_any, read_message, read_to_close,
     received_within, scheduler_with_one_worker, send, served_response, settings, settings_with_deadline,
-    start_scheduler, trace_id, wait_for_reuse,
+    start_scheduler, trace_id, wait_until_worker_connection_is_reusable,
 };
 
 #[test]
@@ -37,7 +37,7 @@
     }
     assert!(read_message(&mut client).ends_with("\r\n\r\nsay \"hi\"!"));
     // The next job reuses the connection, which has been idle for long enough.
-    wait_for_reuse();
+    wait_until_worker_connection_is_reusable();
     send(&mut client, &job_request("sale", "a2", ""));
     assert!(read_message(&mut attempt).contains("X-Trace-Id: a2\r\n"));
     send(&mut attempt, &served_response("a2", "two"));
