--- a/crates/discovery/tests/anti_entropy.rs
+++ b/crates/discovery/tests/anti_entropy.rs
@@ -5,7 +5,7 @@
 
 use brackenledge_discovery::EndpointDirectory;
 use brackenledge_policy::Readiness;
-use support::scenarios::{gossip_of_a_watch, is_ready, requests, restarted, settled};
+use support::scenarios::{gossip_of_a_watch, is_ready, restarted, settled, take_requests};
 use support::simulated_discovery::{Fault, Millis, World, directory, endpoint};
 
 const SCHEDULERS: u16 = 204;
@@ -147,6 +147,6 @@
         "{messages:.2} messages and {bytes:.0} bytes a second per scheduler, all but one without a watch"
     );
     assert!(messages < 5.0 && bytes < 140.0, "{messages} messages, {bytes} bytes a second per scheduler");
-    let (_, cancelled) = requests(&mut world.nodes[0]);
+    let (_, cancelled) = take_requests(&mut world.nodes[0]);
     assert!(cancelled.is_empty());
 }
--- a/crates/discovery/tests/endpoint_status.rs
+++ b/crates/discovery/tests/endpoint_status.rs
@@ -6,7 +6,7 @@
 use brackenledge_discovery::{Command, EndpointRecord, EndpointSignal, Freshness, RequestEnd, RequestKind};
 use brackenledge_policy::Readiness;
 use std::collections::BTreeSet;
-use support::scenarios::{gossip_of_a_watch, is_ready, requests, restarted, settled};
+use support::scenarios::{gossip_of_a_watch, is_ready, restarted, settled, take_requests};
 use support::simulated_discovery::{Fault, World, directory, endpoint};
 
 #[test]
@@ -90,7 +90,7 @@
     for second in 1..=120 {
         let now = 1_000.0 * f64::from(second);
         node.handle_timeout(now);
-        for request in requests(&mut node).0 {
+        for request in take_requests(&mut node).0 {
             opened_requests.push(request);
             node.handle_request_end(now, request, RequestEnd::NoConnection);
         }
@@ -101,7 +101,7 @@
     for step in 0..200 {
         let now = 121_000.0 + 500.0 * f64::from(step);
         node.handle_timeout(now);
-        let (opened, cancelled) = requests(&mut node);
+        let (opened, cancelled) = take_requests(&mut node);
         for request in opened {
             node.handle_connected(now, request);
             node.handle_response_head(now, request);
--- a/crates/discovery/tests/status_events.rs
+++ b/crates/discovery/tests/status_events.rs
@@ -8,7 +8,7 @@
     StatusChangeSource, StatusChangeSummary, StatusSource,
 };
 use brackenledge_policy::Readiness::{self, Draining, Gone, Ready};
-use support::scenarios::{gossip_of_a_watch, requests, restarted};
+use support::scenarios::{gossip_of_a_watch, restarted, take_requests};
 use support::simulated_discovery::endpoint;
 
 /// The status events among the commands since the last call.
@@ -161,14 +161,14 @@
 fn the_start_of_a_suspicion_and_its_end_by_a_fresh_watch_are_logged() {
     let (mut node, watch) = watching();
     node.handle_request_end(20.0, watch, RequestEnd::Closed);
-    requests(&mut node);
+    take_requests(&mut node);
     let a = node.find("a").expect("known");
     for _ in 0..2 {
         node.handle_signal(30.0, a, EndpointSignal::ConnectionRefused);
     }
     assert_eq!(status_events(&mut node), [reported_change("a", Ready, Draining, StatusSource::Signals, 1)]);
     node.handle_timeout(200.0);
-    let next_watch = requests(&mut node).0[0];
+    let next_watch = take_requests(&mut node).0[0];
     node.handle_response_head(200.0, next_watch);
     node.handle_keep_alive(200.0, next_watch);
     let cleared = StatusChangeSource::SignalsCleared;
--- a/crates/discovery/tests/support/scenarios.rs
+++ b/crates/discovery/tests/support/scenarios.rs
@@ -1,4 +1,5 @@
-//! Initial states of tests, and queries of a scheduler's state.
+//! Initial states of tests, and queries of a scheduler's state. Each node is the endpoint directory of one
+//! scheduler.
 #![allow(dead_code, missing_docs)]
 
 use super::simulated_discovery::{World, directory, endpoint};
@@ -14,8 +15,17 @@
     world.start();
     world.run_until(6_000.0 + 1_000.0 * f64::from(count));
     for node in &world.nodes {
-        assert!(names.iter().all(|name| is_ready(node, name)), "{} requests in total", world.requests_opened);
-        assert_eq!(node.freshness(), Freshness::Fresh, "{} requests in total", world.requests_opened);
+        assert!(
+            names.iter().all(|name| is_ready(node, name)),
+            "endpoints not all ready after {} requests",
+            world.requests_opened
+        );
+        assert_eq!(
+            node.freshness(),
+            Freshness::Fresh,
+            "list not fresh after {} requests",
+            world.requests_opened
+        );
     }
     world
 }
@@ -24,7 +34,7 @@
     node.find(name).is_some_and(|id| node.is_ready(id))
 }
 
-/// Runs the world until the endpoint is not ready at this scheduler, and returns the time that this takes.
+/// Runs the world until the endpoint is not ready at this scheduler, and returns how long this takes in ms.
 pub fn time_until_not_ready(
     world: &mut World<EndpointDirectory>,
     node: usize,
@@ -39,13 +49,13 @@
     world.now - since
 }
 
-/// The gossip that a scheduler sends to another one when its own watch delivers these updates one after
-/// another.
+/// The gossip that a scheduler sends to another one when the sender's own watch delivers these updates one
+/// after another.
 pub fn gossip_of_a_watch(updates: &[(u64, &str, Readiness)]) -> Vec<String> {
     let mut sender = directory(0.0, 1, 2, true);
     sender.load_cached(0.0, 0, vec![endpoint("a", Readiness::Ready), endpoint("b", Readiness::Ready)]);
     sender.set_watching(0.0, true);
-    let watch = requests(&mut sender).0[0];
+    let watch = take_requests(&mut sender).0[0];
     sender.handle_response_head(1.0, watch);
     let mut messages = Vec::new();
     for &(revision, name, readiness) in updates {
@@ -60,19 +70,20 @@
     messages
 }
 
-/// A scheduler that has restarted, and its watch. It holds the cached list, and the watch has not delivered
-/// anything yet.
+/// A scheduler that has restarted, and its watch. The scheduler holds the cached list; the watch has not
+/// delivered anything yet.
 pub fn restarted() -> (EndpointDirectory, RequestId) {
     let mut node = directory(0.0, 0, 2, true);
     node.load_cached(0.0, 0, vec![endpoint("a", Readiness::Ready), endpoint("b", Readiness::Ready)]);
     node.set_watching(0.0, true);
-    let watch = requests(&mut node).0[0];
+    let watch = take_requests(&mut node).0[0];
     node.handle_connected(1.0, watch);
     (node, watch)
 }
 
-/// Takes all commands of a scheduler. Returns the requests that they open and those that they cancel.
-pub fn requests(node: &mut EndpointDirectory) -> (Vec<RequestId>, Vec<RequestId>) {
+/// Takes all pending commands of a scheduler. Returns the requests that the commands open, and those that
+/// they cancel.
+pub fn take_requests(node: &mut EndpointDirectory) -> (Vec<RequestId>, Vec<RequestId>) {
     let (mut opened, mut cancelled) = (Vec::new(), Vec::new());
     while let Some(command) = node.poll_command() {
         match command {
--- a/crates/discovery/tests/watches.rs
+++ b/crates/discovery/tests/watches.rs
@@ -5,7 +5,7 @@
 
 use brackenledge_discovery::{EndpointDirectory, Freshness, RequestEnd};
 use brackenledge_policy::Readiness;
-use support::scenarios::{is_ready, requests, settled};
+use support::scenarios::{is_ready, settled, take_requests};
 use support::simulated_discovery::{SERVICE_TIME, directory, endpoint};
 
 #[test]
@@ -58,7 +58,7 @@
     for (new_revisions, cancelled) in [(0, 1), (1, 0)] {
         let mut node = directory(0.0, 0, 4, false);
         node.set_watching(0.0, true);
-        let mut opened = requests(&mut node).0;
+        let mut opened = take_requests(&mut node).0;
         let respond = |node: &mut EndpointDirectory, now, request, revision| {
             node.handle_connected(now, request);
             node.handle_response_head(now, request);
@@ -71,16 +71,16 @@
             now += 1_000.0;
             node.handle_keep_alive(now, opened[0]);
             node.handle_timeout(now);
-            opened.extend(requests(&mut node).0);
+            opened.extend(take_requests(&mut node).0);
         }
         respond(&mut node, now + 1.0, opened[1], 3 + new_revisions);
-        assert_eq!(requests(&mut node), (vec![], vec![opened[cancelled]]));
+        assert_eq!(take_requests(&mut node), (vec![], vec![opened[cancelled]]));
         assert_eq!(node.freshness(), Freshness::Fresh);
         // No request is opened when the cancelled watch breaks off.
         node.handle_request_end(now + 11.0, opened[cancelled], RequestEnd::Closed);
         node.handle_keep_alive(now + 1_500.0, opened[1 - cancelled]);
         node.handle_timeout(now + 2_000.0);
-        assert_eq!(requests(&mut node), (vec![], vec![]));
+        assert_eq!(take_requests(&mut node), (vec![], vec![]));
     }
 }
 
--- a/crates/failover/src/client_job.rs
+++ b/crates/failover/src/client_job.rs
@@ -20,14 +20,15 @@
     ReplicationDeferred,
 }
 
-/// An attempt that is not sent until the replicas have acknowledged its record.
+/// An attempt that the driver is not permitted to send ([`Command::PermitAttempt`](crate::Command)) until the
+/// replicas have acknowledged its record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingAck {
     /// The attempt's number in the record.
     pub(crate) number: u32,
     /// The first version of the record that contains the attempt.
     pub(crate) version: u32,
-    /// The attempt expires if it is not permitted by then.
+    /// The attempt expires if the driver has not been permitted to send it by then.
     pub(crate) deadline: Micros,
 }
 
@@ -45,25 +46,26 @@
     pub(crate) state: ClaimState,
     pub(crate) record: JobRecord,
     pub(crate) clients: Vec<WaitingClient>,
-    /// Whether the job is rejected rather than run without replicas.
+    /// Whether the job is rejected, rather than run without replicas, if it can't be replicated.
     pub(crate) requires_replication: bool,
-    /// The time from which `Settings::claim_timeout` counts: when the job was claimed. Before that, the time
-    /// from which `Settings::replication_delay` counts: when the job was submitted or taken over.
+    /// When the job was claimed (`Settings::claim_timeout` counts from then) or, while it is unclaimed, when
+    /// it was submitted or taken over (`Settings::replication_delay` counts from then).
     pub(crate) timer_started_at: Micros,
-    /// Whether the driver has been told to run the job.
+    /// Whether the driver (the code that calls this crate and runs the jobs) has been told to run the job.
     pub(crate) started: bool,
     /// Whether the job was taken over from another owner.
     pub(crate) taken_over: bool,
-    /// Whether another process may own the job or have owned it: the job may have run although the local
-    /// record has no such attempt.
-    pub(crate) possibly_lost: bool,
+    /// Whether another process may own the job or have owned it, so that the job may have run without an
+    /// attempt in the local record.
+    pub(crate) possibly_owned_elsewhere: bool,
     /// The version up to which the record is replicated; `None` before the first acknowledgement under the
     /// member list in force.
     pub(crate) acked_version: Option<u32>,
     pub(crate) pending_acks: Vec<PendingAck>,
-    /// The number in the record of the first attempt under this claim; the driver counts its attempts from 0.
+    /// The number that the first attempt under this claim has in the record. The driver counts the attempts
+    /// under this claim from 0.
     pub(crate) first_attempt: u32,
-    /// The outcome, while it is uncertain whether this process still owned the job when it ended.
+    /// The outcome, while it is uncertain whether this process still owned the job when the job ended.
     pub(crate) unconfirmed_outcome: Option<JobOutcome>,
 }
 
@@ -83,7 +85,7 @@
             timer_started_at: now,
             started: false,
             taken_over: false,
-            possibly_lost: false,
+            possibly_owned_elsewhere: false,
             acked_version: None,
             pending_acks: Vec::new(),
             first_attempt,
@@ -96,11 +98,11 @@
         self.pending_acks.iter().any(|pending| pending.number == number)
     }
 
-    /// Marks the attempts without an acknowledgement as never run: they were not sent and will not be.
-    pub(crate) fn mark_pending_never_ran(&mut self) {
-        let pending = &self.pending_acks;
+    /// Marks the attempts whose records are unacknowledged as never run: they have not been sent.
+    pub(crate) fn mark_unacked_as_never_ran(&mut self) {
+        let unacked = &self.pending_acks;
         for attempt in &mut self.record.attempts {
-            if pending.iter().any(|pending| pending.number == attempt.number) {
+            if unacked.iter().any(|unacked| unacked.number == attempt.number) {
                 attempt.execution = Execution::NeverRan;
             }
         }
@@ -114,8 +116,8 @@
         self.record.outcome.is_none() && self.record.attempts.iter().all(unsent)
     }
 
-    /// Attaches the job to its owner, which is another process. The attempts recorded under this claim were
-    /// rejected and not sent, so they are removed.
+    /// Attaches the job to its owner, which is another process. The attempts recorded under this claim have
+    /// not been sent, since the claim was not granted, so they are removed.
     pub(crate) fn attach(&mut self) {
         let first_attempt = self.first_attempt;
         self.pending_acks.clear();
@@ -124,13 +126,13 @@
         self.state = ClaimState::Attached;
     }
 
-    /// The outcome for local clients if this process abandons the job now: `Failed` if it may have run, here
-    /// or elsewhere, otherwise `Rejected`.
+    /// The outcome for local clients if this process abandons the job now: `Failed` if the job may have run,
+    /// here or elsewhere, otherwise `Rejected`.
     pub(crate) fn outcome_if_abandoned(&self) -> JobOutcome {
         let may_have_run = |attempt: &AttemptRecord| {
             attempt.execution == Execution::MayHaveRun && !self.awaits_ack(attempt.number)
         };
-        if self.possibly_lost || self.record.attempts.iter().any(may_have_run) {
+        if self.possibly_owned_elsewhere || self.record.attempts.iter().any(may_have_run) {
             JobOutcome::Failed
         } else {
             JobOutcome::Rejected(Some(RETRY_AFTER_MS))
--- a/crates/failover/src/job_owner/completion.rs
+++ b/crates/failover/src/job_owner/completion.rs
@@ -12,14 +12,17 @@
     }
 
     fn complete(&mut self, now: Micros, key: &JobKey, outcome: JobOutcome) {
-        self.mark_if_possibly_lost(now, key);
+        self.mark_if_possibly_owned_elsewhere(now, key);
         let Some(job) = self.jobs.get_mut(key).filter(|job| job.started) else { return };
         match job.state {
             ClaimState::Unreplicated | ClaimState::ReplicationDeferred => self.end_job(key, outcome),
             // No attempt was sent, so the coordinator does not need the outcome.
             ClaimState::Pending if job.record.requires_ack => {
-                let outcome =
-                    if outcome.is_rejected() && job.possibly_lost { JobOutcome::Failed } else { outcome };
+                let outcome = if outcome.is_rejected() && job.possibly_owned_elsewhere {
+                    JobOutcome::Failed
+                } else {
+                    outcome
+                };
                 job.started = false;
                 let claim_id = job.record.claim_id;
                 self.send_discard(key, claim_id, false);
--- a/crates/failover/src/job_owner/mod.rs
+++ b/crates/failover/src/job_owner/mod.rs
@@ -162,9 +162,9 @@
     /// replication or may already have run.
     fn run_unreplicated_or_reject(&mut self, key: &JobKey) {
         let Some(job) = self.jobs.get_mut(key) else { return };
-        job.mark_pending_never_ran();
+        job.mark_unacked_as_never_ran();
         let never_ran = job.record.attempts.iter().all(|attempt| attempt.execution == Execution::NeverRan);
-        if job.requires_replication || job.possibly_lost || !never_ran {
+        if job.requires_replication || job.possibly_owned_elsewhere || !never_ran {
             self.counters.rejected += 1;
             let outcome = job.outcome_if_abandoned();
             self.revoke(key);
@@ -196,7 +196,7 @@
         if let Some(job) = self.jobs.get_mut(key).filter(running) {
             job.state = ClaimState::Owned;
             job.record = record;
-            job.possibly_lost = false;
+            job.possibly_owned_elsewhere = false;
             return;
         }
         self.revoke(key);
@@ -214,14 +214,14 @@
         self.counters.ownership_lost += 1;
         self.last_claim_id += 1;
         job.record.claim_id = self.last_claim_id;
-        job.mark_pending_never_ran();
+        job.mark_unacked_as_never_ran();
         // If the job is started again, its attempts are numbered after those on record.
         job.first_attempt = job.record.next_attempt_number();
         job.state = ClaimState::Pending;
         job.acked_version = None;
         job.unconfirmed_outcome = None;
         job.record.outcome = None;
-        job.possibly_lost = true;
+        job.possibly_owned_elsewhere = true;
         job.pending_acks.clear();
         self.revoke(key);
         if self.jobs.get(key).is_some_and(|job| job.clients.is_empty()) {
@@ -231,13 +231,13 @@
 
     /// Marks a pending job if its claim may have been granted and another process may have taken the job over
     /// without this process having been told.
-    fn mark_if_possibly_lost(&mut self, now: Micros, key: &JobKey) {
+    fn mark_if_possibly_owned_elsewhere(&mut self, now: Micros, key: &JobKey) {
         let pending = self.jobs.get(key).filter(|job| job.state == ClaimState::Pending);
         let since = pending.map(|job| job.timer_started_at);
         if since.is_some_and(|since| self.lease_lapsed_since(now, since))
             && let Some(job) = self.jobs.get_mut(key)
         {
-            job.possibly_lost = true;
+            job.possibly_owned_elsewhere = true;
         }
     }
 
--- a/crates/failover/src/job_owner/replies.rs
+++ b/crates/failover/src/job_owner/replies.rs
@@ -18,7 +18,7 @@
             return;
         }
         job.state = ClaimState::Owned;
-        job.possibly_lost = false;
+        job.possibly_owned_elsewhere = false;
         job.record.ownership_epoch = ownership_epoch;
         job.acked_version = Some(version);
         if job.record.version > version {
--- a/crates/failover/src/job_owner/timeouts.rs
+++ b/crates/failover/src/job_owner/timeouts.rs
@@ -7,7 +7,7 @@
     pub(crate) fn handle_job_timeouts(&mut self, now: Micros) {
         let keys: Vec<JobKey> = self.jobs.keys().cloned().collect();
         for key in keys {
-            self.mark_if_possibly_lost(now, &key);
+            self.mark_if_possibly_owned_elsewhere(now, &key);
             self.expire_attempts(now, &key);
             self.expire_clients(now, &key);
             self.expire_claim(now, &key);
--- a/crates/failover/src/member_list.rs
+++ b/crates/failover/src/member_list.rs
@@ -114,7 +114,7 @@
         keys.iter().for_each(|key| self.lose_ownership(key));
         for job in self.jobs.values_mut().filter(|job| job.state == ClaimState::Attached) {
             job.state = ClaimState::Pending;
-            job.possibly_lost = true;
+            job.possibly_owned_elsewhere = true;
         }
     }
 
--- a/crates/policy/src/peers/load_message.rs
+++ b/crates/policy/src/peers/load_message.rs
@@ -1,10 +1,11 @@
-//! Format of the messages that report how many slots are occupied at which workers.
+//! Format of the messages that report how many slots are occupied at which workers. A symbol is one byte of
+//! text that holds 6 bits of a value.
 //!
 //! | part | symbols | value |
 //! | --- | --- | --- |
-//! | kind | 1 | 0: the sender's slots, 1: continuation of them, 2: aggregated loads |
+//! | kind | 1 | 0: slots of the sender's jobs, 1: continuation of 0, 2: slots of all schedulers' jobs |
 //! | for each worker: tag | 3 | the lowest bits of the hash of its name |
-//! | for each worker: slots | 1 | rounded, at most 63 |
+//! | for each worker: slot count | 1 | rounded, at most 63 |
 
 use crate::symbols::{BITS_PER_SYMBOL, InvalidSymbol, decode, encode};
 use crate::units::WorkerId;
@@ -13,7 +14,7 @@
 const KIND_SYMBOLS: usize = 1;
 /// Length of a worker's tag, in symbols.
 const TAG_SYMBOLS: usize = 3;
-/// Length of a worker's slots, in symbols.
+/// Length of a worker's slot count, in symbols.
 const SLOTS_SYMBOLS: usize = 1;
 /// Length of a worker's entry, in symbols.
 const ENTRY_SYMBOLS: usize = TAG_SYMBOLS + SLOTS_SYMBOLS;
@@ -21,7 +22,7 @@
 const TAG_MASK: u64 = (1 << (BITS_PER_SYMBOL * TAG_SYMBOLS)) - 1;
 /// The most slots that an entry can hold.
 const MAX_SLOTS: f64 = 63.0;
-/// The longest message that the caller of the dispatcher sends.
+/// The longest message that can be sent to a peer, in bytes.
 pub(super) const MAX_MESSAGE_BYTES: usize = 256;
 const MAX_ENTRIES: usize = (MAX_MESSAGE_BYTES - KIND_SYMBOLS) / ENTRY_SYMBOLS;
 
@@ -52,11 +53,12 @@
 /// The kind of a load message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum LoadMessageKind {
-    /// The sender's own slots. It replaces the sender's earlier messages.
+    /// The slots occupied by the sender's own jobs. The message replaces the sender's earlier messages.
     Own,
-    /// Continuation of the sender's own slots, which did not fit into the message before.
+    /// Continuation of a report of the sender's own slots that did not fit into the message before.
     OwnContinued,
-    /// The slots of all schedulers together, sent by the aggregator. Workers without an entry are unchanged.
+    /// The slots occupied by the jobs of all schedulers together, sent by the aggregator: the one scheduler
+    /// of a large cluster that adds up all reports. Workers without an entry are unchanged.
     Aggregated,
 }
 
@@ -131,7 +133,7 @@
 }
 
 /// Splits a message with aggregated loads into messages of at most `max_bytes` each, with the same entries in
-/// total. If `max_bytes` does not exceed the size of a message with one entry, the message is returned whole.
+/// total. The message is returned whole if `max_bytes` is at most the size of a message with one entry.
 pub fn split_aggregated_loads(text: &str, max_bytes: usize) -> Vec<String> {
     if text.len() <= max_bytes || max_bytes <= KIND_SYMBOLS + ENTRY_SYMBOLS {
         return vec![text.to_owned()];
--- a/crates/policy/src/worker_list.rs
+++ b/crates/policy/src/worker_list.rs
@@ -25,22 +25,23 @@
     pub zone: u32,
     /// The number of its machine kind.
     pub kind: u32,
-    /// The number of its cell.
+    /// The number of its cell: a group of workers, narrower than a zone, that share all idempotency keys.
     pub cell: u32,
     /// Whether it takes new jobs.
     pub readiness: Readiness,
     /// Its weight relative to other workers; [`Weights`](crate::Weights) gives the meaning.
     pub weight: f64,
-    /// When it last started; `None` if that was long ago.
+    /// When it last started; `None` if that was long ago, so that it has its full capacity.
     pub started_at: Option<Millis>,
-    /// Probability, 0 to 1, that it is draining though not listed so yet. Other workers are preferred to it.
+    /// Probability, 0 to 1, that it is draining although the list does not say so yet. The higher this is,
+    /// the more other workers are preferred.
     pub drain_probability: f64,
 }
 
 /// What an update of the worker list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// The complete list as it was before a restart; it may be outdated.
+    /// The complete list as it was before this scheduler restarted; it may be outdated.
     Cached,
     /// The complete list; a worker that is missing from it is gone.
     Full,
