--- a/crates/simulator/src/zone_sweep.rs
+++ b/crates/simulator/src/zone_sweep.rs
@@ -43,8 +43,8 @@
         strategy.name(),
         result.served,
         result.served_elsewhere,
-        result.worst_zone_served,
-        result.worst_unaffected_zone_served,
+        result.min_served_per_origin,
+        result.min_served_per_origin_without_outage,
         result.cascades,
         result.severe_overloads,
         result.plans
--- a/crates/simulator/src/zones.rs
+++ b/crates/simulator/src/zones.rs
@@ -77,10 +77,10 @@
     pub served: f64,
     /// Fraction of the work that was served in a zone other than its origin.
     pub served_elsewhere: f64,
-    /// The lowest fraction served of the work of any one zone.
-    pub worst_zone_served: f64,
-    /// The same, over only the zones without an outage.
-    pub worst_unaffected_zone_served: f64,
+    /// The lowest fraction served of the work that originates in any one zone.
+    pub min_served_per_origin: f64,
+    /// The lowest fraction served of the work that originates in any one zone that had no outage.
+    pub min_served_per_origin_without_outage: f64,
     /// Number of times that a zone at full capacity received more than 1.1 times its capacity for 3 s,
     /// although the capacity of all zones together was sufficient.
     pub cascades: usize,
--- a/crates/simulator/src/zones/queues.rs
+++ b/crates/simulator/src/zones/queues.rs
@@ -111,8 +111,8 @@
         FlowResult {
             served: self.served.iter().sum::<f64>() / offered,
             served_elsewhere: self.served_elsewhere / offered,
-            worst_zone_served: zones.clone().map(served_fraction).fold(1.0, f64::min),
-            worst_unaffected_zone_served: zones
+            min_served_per_origin: zones.clone().map(served_fraction).fold(1.0, f64::min),
+            min_served_per_origin_without_outage: zones
                 .filter(|&zone| !had_outage(zone))
                 .map(served_fraction)
                 .fold(1.0, f64::min),
--- a/crates/test-cluster/src/cluster/connection.rs
+++ b/crates/test-cluster/src/cluster/connection.rs
@@ -43,7 +43,7 @@
         request: String,
     },
     /// The end of an endpoint list update in which these workers accept no new work.
-    ClosedWorkers(Vec<usize>),
+    NotReadyWorkers(Vec<usize>),
 }
 
 /// The connection attempt of the socket was refused or timed out.
--- a/crates/test-cluster/src/cluster/context.rs
+++ b/crates/test-cluster/src/cluster/context.rs
@@ -46,7 +46,7 @@
                 let sent = HistoryEvent::RequestSent { at, connected_at, job, request, scheduler, deadline };
                 self.runtime.record(sent);
             }
-            WriteMark::ClosedWorkers(workers) => {
+            WriteMark::NotReadyWorkers(workers) => {
                 for worker in workers {
                     self.runtime.record(HistoryEvent::DrainAnnounced { at, scheduler, worker });
                 }
--- a/crates/test-cluster/src/cluster/discovery_stand_in.rs
+++ b/crates/test-cluster/src/cluster/discovery_stand_in.rs
@@ -37,8 +37,8 @@
     /// Time between two responses while discovery is overloaded; `None` when it is not.
     service_interval: Option<Millis>,
     queue: VecDeque<QueuedRequest>,
-    /// Workers that accept no new work according to the list last announced.
-    listed_closed: BTreeSet<usize>,
+    /// Workers whose status is not ready in the list last announced: they accept no new work.
+    listed_not_ready: BTreeSet<usize>,
 }
 
 impl DiscoveryStandIn {
@@ -52,7 +52,7 @@
             silenced: BTreeSet::new(),
             service_interval: None,
             queue: VecDeque::new(),
-            listed_closed: BTreeSet::new(),
+            listed_not_ready: BTreeSet::new(),
         }
     }
 
@@ -72,7 +72,7 @@
     }
 
     /// Applies the changes that are due, and announces the new list.
-    pub fn handle_timeout(&mut self, context: &mut Context) {
+    pub fn apply_due_changes(&mut self, context: &mut Context) {
         if self.list.apply_due(context.runtime.clock.now()) {
             self.announce_list(context);
         }
@@ -86,7 +86,7 @@
     /// Limits the requests answered per second from now on; `None` removes the limit.
     pub fn set_capacity(&mut self, context: &mut Context, requests_per_s: Option<f64>) {
         self.service_interval = requests_per_s.map(|rate| 1_000.0 / rate);
-        context.runtime.schedule_after(self.service_interval.unwrap_or(0.0), Timer::DiscoveryRequest);
+        context.runtime.schedule_after(self.service_interval.unwrap_or(0.0), Timer::DiscoveryResponse);
     }
 
     /// Answers the oldest queued request, or all of them if discovery is no longer overloaded. Requests that
@@ -107,19 +107,19 @@
             }
         }
         if let Some(interval) = self.service_interval {
-            context.runtime.schedule_after(interval, Timer::DiscoveryRequest);
+            context.runtime.schedule_after(interval, Timer::DiscoveryResponse);
         }
     }
 
-    /// Records the workers that newly accept no work according to the list, and sends the list's changes on
-    /// each watch.
+    /// Records the workers that, according to the list, have stopped accepting new work, and sends the list's
+    /// changes on each watch.
     pub fn announce_list(&mut self, context: &mut Context) {
         let at = context.runtime.clock.since_traffic_start();
-        let closed: BTreeSet<usize> = self.list.closed_workers().collect();
-        for &worker in closed.difference(&self.listed_closed) {
+        let not_ready: BTreeSet<usize> = self.list.not_ready_workers().collect();
+        for &worker in not_ready.difference(&self.listed_not_ready) {
             context.runtime.record(HistoryEvent::DrainListed { at, worker });
         }
-        self.listed_closed = closed;
+        self.listed_not_ready = not_ready;
         self.send_updates(context);
     }
 
@@ -131,7 +131,8 @@
             };
             let update = updates_since(&self.list, context, connection.scheduler, *known_revision);
             *known_revision = revision;
-            let mark = WriteMark::ClosedWorkers(update.closed_workers);
+            // The history gets an entry for each of these workers once the scheduler's socket has the update.
+            let mark = WriteMark::NotReadyWorkers(update.not_ready_workers);
             context.send_marked(id, http::json_chunk(&update.document), mark);
         }
     }
@@ -148,10 +149,10 @@
         } else {
             http::json_response(&update.document)
         };
-        context.send_marked(id, response, WriteMark::ClosedWorkers(update.closed_workers));
+        context.send_marked(id, response, WriteMark::NotReadyWorkers(update.not_ready_workers));
     }
 
-    /// Sends an empty line on each watch, and schedules the next round.
+    /// Sends a keep-alive, an empty line, on each watch that is not silenced, and schedules the next ones.
     pub fn send_keep_alives(&mut self, context: &mut Context) {
         for &id in self.watches.keys().filter(|id| !self.silenced.contains(id)) {
             context.send(id, http::EMPTY_LINE_CHUNK);
--- a/crates/test-cluster/src/cluster/timers.rs
+++ b/crates/test-cluster/src/cluster/timers.rs
@@ -20,8 +20,8 @@
     },
     /// Complete the workers' executions that are due.
     WorkerProgress,
-    /// Answer the next queued request to discovery, while it is overloaded.
-    DiscoveryRequest,
+    /// Answer the next queued request to discovery, while discovery is overloaded.
+    DiscoveryResponse,
     /// Publish the changes to the endpoint list that are due.
     EndpointChange,
     /// Send a keep-alive line on each watch.
@@ -85,7 +85,8 @@
     }
 }
 
-/// The pending timers, by cluster time.
+/// The pending timers. Their times are cluster times, in milliseconds since the creation of the cluster, as
+/// given by [`Clock::now`](super::runtime::Clock::now), and not times since the start of traffic.
 #[derive(Default)]
 pub struct TimerQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
@@ -93,7 +94,7 @@
 }
 
 impl TimerQueue {
-    /// Adds a timer that is due at cluster time `at`.
+    /// Adds a timer that is due at cluster time `at`; a time below 0 counts as 0.
     pub fn schedule(&mut self, at: Millis, timer: Timer) {
         self.last_sequence += 1;
         let due_us = (at.max(0.0) * 1_000.0).ceil() as u64;
--- a/crates/test-cluster/src/stand_ins/discovery.rs
+++ b/crates/test-cluster/src/stand_ins/discovery.rs
@@ -59,7 +59,7 @@
     /// The JSON document to send.
     pub document: Value,
     /// Workers in the document whose status is not ready.
-    pub closed_workers: Vec<usize>,
+    pub not_ready_workers: Vec<usize>,
 }
 
 /// The endpoint list and its pending changes.
@@ -126,7 +126,7 @@
     }
 
     /// Workers whose status is not ready in the list that is served now.
-    pub fn closed_workers(&self) -> impl Iterator<Item = usize> + '_ {
+    pub fn not_ready_workers(&self) -> impl Iterator<Item = usize> + '_ {
         let entries = self.served().entries.iter().enumerate();
         entries.filter(|(_, entry)| entry.status != EndpointStatus::Ready).map(|(worker, _)| worker)
     }
@@ -159,10 +159,10 @@
                     "since_ms": entry.since_ms})
             })
             .collect();
-        let is_closed = |(_, entry): &&(usize, &Entry)| entry.status != EndpointStatus::Ready;
+        let is_not_ready = |(_, entry): &&(usize, &Entry)| entry.status != EndpointStatus::Ready;
         ListUpdate {
             document: json!({"index": current, "snapshot": is_snapshot, "endpoints": endpoints}),
-            closed_workers: shown.iter().filter(is_closed).map(|shown| shown.0).collect(),
+            not_ready_workers: shown.iter().filter(is_not_ready).map(|shown| shown.0).collect(),
         }
     }
 }
