--- a/crates/discovery/src/anti_entropy.rs
+++ b/crates/discovery/src/anti_entropy.rs
@@ -1,4 +1,4 @@
-//! Anti-entropy: when a scheduler pulls changes that have not reached it by gossip from its peers.
+//! Anti-entropy: when a scheduler pulls from its peers the changes that no rumour has brought to it.
 //!
 //! A rumour may be lost in part or entirely without being detected: it is sent only a few times, and a peer
 //! that knows of a revision is taken to know all of its changes. Each scheduler therefore compares the
@@ -10,8 +10,8 @@
 use brackenledge_policy::Millis;
 use fastrand::Rng;
 
-/// Interval between pulls while no watch works. Several pulls fit into the 6 s after which a change counts as
-/// received.
+/// Interval between pulls while no watch works. Several pulls fit into the 6 s after which a change that
+/// discovery has written to a silent watch counts as received.
 const PULL_INTERVAL_WITHOUT_WATCH: Millis = 700.0;
 /// Interval between pulls while a watch works.
 const PULL_INTERVAL: Millis = 4_000.0;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Discovery has restarted its count of revisions, so revisions mentioned earlier are meaningless now.
+    /// Discovery has restarted its revision numbering, so revisions mentioned earlier are meaningless now.
     pub(crate) fn restart_revisions(&mut self) {
         (self.mentioned, self.pulled_revision) = (None, 0);
     }
--- a/crates/discovery/src/client.rs
+++ b/crates/discovery/src/client.rs
@@ -35,12 +35,12 @@
 use std::collections::VecDeque;
 use timing::{Backoff, ClientTiming, MAX_RESPONSE_LATE};
 
-/// The table is stale once no keep-alive, update or list has arrived for this long.
+/// The list is stale once no keep-alive, update or list has arrived for this long.
 const STALE_AFTER: Millis = 5_000.0;
 /// Updates that discovery writes to a silent watch count as received this long after the watch's last byte.
 /// Until then, retries do not wait for tokens.
 const SILENCE_GRACE: Millis = 6_000.0;
-/// Maximum number of watches open at once while none of them is on time.
+/// Maximum number of watches open at once while each of them is late or suspected.
 const MAX_WATCHES: usize = 3;
 /// Capacity of the token bucket, in requests.
 const REQUEST_BURST: f64 = 5.0;
@@ -81,15 +81,15 @@
     consecutive_failures: u32,
     /// No request is opened before this time.
     retry_at: Millis,
-    /// When the open watch is to be replaced, even if it works.
+    /// When the open watch is to be replaced, even if it works; infinite until a watch has first delivered.
     rotate_watch_at: Millis,
-    /// When discovery last confirmed or changed the list.
+    /// When discovery last confirmed or changed the list; negative infinity if it has not yet.
     confirmed_at: Millis,
     /// From this time on a wanted request is opened even without a token, since the list held would otherwise
-    /// become too old.
+    /// become too old. Infinite if no request is to be forced.
     forced_request_at: Millis,
     /// When a working watch fell silent. Also set by a request that has waited for its response for longer
-    /// than discovery's queue can explain.
+    /// than discovery's queue can explain. `None` once a watch that is not suspected has delivered.
     silent_since: Option<Millis>,
     budget: TokenBucket,
     timing: ClientTiming,
@@ -299,6 +299,7 @@
         };
         let mut next = self.requests.iter().map(timeout).fold(Millis::INFINITY, Millis::min);
         let stale_at = self.confirmed_at + STALE_AFTER;
+        // The bucket is refilled at each `handle_timeout`, so timeouts up to its last refill were handled.
         if stale_at > self.budget.refilled_at() {
             next = next.min(stale_at);
         }
--- a/crates/discovery/src/client/freshness.rs
+++ b/crates/discovery/src/client/freshness.rs
@@ -5,9 +5,10 @@
 /// How up to date the list from discovery is known to be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Freshness {
-    /// A watch is open and on time: the table holds everything that discovery has reported so far.
+    /// A watch that has delivered an update or a keep-alive is neither late nor suspected: the table holds
+    /// everything that discovery has reported so far.
     Fresh,
-    /// The watch is late or has just broken; a newer list is being requested.
+    /// There is no such watch, but discovery confirmed or changed the list less than five seconds ago.
     Late,
     /// Discovery has neither confirmed nor changed the list for five seconds.
     Stale,
--- a/crates/discovery/src/directory.rs
+++ b/crates/discovery/src/directory.rs
@@ -24,7 +24,7 @@
 /// Likewise, for the random numbers of anti-entropy.
 const ANTI_ENTROPY_SEED_MASK: u64 = 0x0a17_e217;
 
-/// The entries received by a request since its last complete update.
+/// The entries that a request has received since its last complete update.
 struct PartialUpdate {
     /// When the request was opened.
     requested_at: Millis,
@@ -233,6 +233,8 @@
         let update = ListUpdate { revision, source, is_snapshot, requested_at };
         let held = self.table.revision();
         self.client.handle_update(now, request, held != Some(revision));
+        // The revision is lower than the held one if a newer list arrived while a poll was under way, or if
+        // discovery has restarted its revision numbering.
         if held.is_some_and(|held| revision < held) {
             if source == StatusSource::Poll && requested_at < self.table.revision_at() {
                 self.event(Event::OutdatedListIgnored { revision });
--- a/crates/discovery/src/endpoint.rs
+++ b/crates/discovery/src/endpoint.rs
@@ -118,6 +118,7 @@
     pub(crate) name_hash: u64,
     /// The revision of the list that last confirmed the record.
     pub(crate) revision: u64,
+    /// The source of the last complete update that contained it.
     pub(crate) source: StatusSource,
     /// Since when the record has had its current readiness.
     pub(crate) listed_since: Millis,
@@ -136,7 +137,7 @@
 }
 
 impl Endpoint {
-    /// Creates an endpoint that no complete list has confirmed yet. It counts as gone until then.
+    /// Creates an endpoint that no complete update has confirmed yet. It counts as gone until then.
     pub(crate) fn new(now: Millis, record: &EndpointRecord) -> Self {
         Endpoint {
             name_hash: hash(&record.name),
--- a/crates/discovery/src/gossip.rs
+++ b/crates/discovery/src/gossip.rs
@@ -15,7 +15,7 @@
 //! | message | content | answered by |
 //! | --- | --- | --- |
 //! | push | changes; resent a few times until the receiver knows of their revision | reply |
-//! | pull | a digest of the known changes newer than the sender's list | reply, with changes if they differ |
+//! | pull | digest of known changes newer than the sender's list | reply, with changes if digests differ |
 //! | reply | the held and the known revision, and possibly changes | nothing |
 //!
 //! In a large cluster a reply is also sent unsolicited, to advertise a revision.
@@ -37,10 +37,10 @@
 
 use std::collections::BTreeMap;
 
-/// Maximum number of peers that one scheduler sends a change to. With at most this many peers, changes are
-/// not forwarded.
+/// With at most this many peers, the cluster is small: a scheduler sends each change to all of them, and
+/// changes are not forwarded. Also the maximum number of peers pulled from at once at startup.
 const FANOUT: usize = 8;
-/// Delays before a rumour is resent to peers that have not confirmed it.
+/// Delays before a rumour is resent to the receivers that have not stated that they know of its revision.
 const PUSH_RETRY_INTERVALS: [Millis; 4] = [120.0, 250.0, 500.0, 1_000.0];
 /// Delays before the pulls at startup. They stop as soon as a message arrives from any peer.
 const STARTUP_PULL_INTERVALS: [Millis; 3] = [0.0, 300.0, 1_200.0];
@@ -49,7 +49,8 @@
 /// Number of further peers that are sent the revision number alone. They pull the change unless it reaches
 /// them otherwise (lazy push, as in Leitao et al., "Epidemic broadcast trees", 2007).
 const LAZY_FANOUT: usize = 3;
-/// After discovery has restarted its revision numbering, some peers still use the former one for a while.
+/// For how long after a restart of discovery's revision numbering messages that use the former numbering are
+/// rejected. Some peers still use it for a while.
 const FORMER_NUMBERING_TIMEOUT: Millis = 30_000.0;
 /// Jitter of the resend delays, as a fraction in either direction.
 const RETRY_JITTER: f64 = 0.25;
@@ -65,12 +66,16 @@
     pub(crate) known_revision: u64,
 }
 
-/// The changes of one revision while they are being sent to peers.
+/// Changes that are being sent to peers, or a revision that is being advertised alone.
 struct Rumour {
+    /// The newest revision among the changes, or the advertised one.
     revision: u64,
+    /// Empty if the revision is advertised alone.
     changes: Vec<EndpointChange>,
     times_sent: usize,
+    /// Infinite once no retry is left.
     next_send_at: Millis,
+    /// The peers to which the changes are sent; chosen when the rumour is first sent, and empty until then.
     receivers: Vec<u16>,
 }
 
@@ -120,7 +125,7 @@
     known_revision: u64,
     rumours: Vec<Rumour>,
     /// The newest revision that was advertised alone, without its changes.
-    announced_revision: u64,
+    advertised_revision: u64,
     former_numbering: Option<FormerNumbering>,
     recent: RecentChanges,
     /// Pending replies, by receiver.
@@ -140,7 +145,7 @@
             peer_revisions: BTreeMap::new(),
             known_revision: 0,
             rumours: Vec::new(),
-            announced_revision: 0,
+            advertised_revision: 0,
             former_numbering: None,
             recent: RecentChanges::default(),
             replies: BTreeMap::new(),
@@ -169,7 +174,7 @@
     pub(crate) fn restart_revisions(&mut self, now: Millis, former_revision: u64) {
         let until = now + FORMER_NUMBERING_TIMEOUT;
         self.former_numbering = Some(FormerNumbering { revision: former_revision, until });
-        (self.known_revision, self.announced_revision) = (0, 0);
+        (self.known_revision, self.advertised_revision) = (0, 0);
         self.peer_revisions = BTreeMap::new();
         self.recent.clear();
     }
@@ -383,18 +388,18 @@
         self.rumours = rumours;
     }
 
-    /// In a large cluster, limits a rumour to [`EAGER_FANOUT`] receivers and advertises its revision alone to
-    /// [`LAZY_FANOUT`] others, once for each revision.
+    /// In a large cluster, limits a rumour to [`EAGER_FANOUT`] receivers, or none if it has no changes, and
+    /// advertises its revision alone to [`LAZY_FANOUT`] others, once for each revision.
     fn limit_fanout(&mut self, rumour: &mut Rumour, drafts: &mut Drafts) {
         if !self.is_large_cluster() {
             return;
         }
         let eager = if rumour.changes.is_empty() { 0 } else { EAGER_FANOUT };
         let lazy = rumour.receivers.split_off(eager);
-        if rumour.revision <= self.announced_revision {
+        if rumour.revision <= self.advertised_revision {
             return;
         }
-        self.announced_revision = rumour.revision;
+        self.advertised_revision = rumour.revision;
         for to in lazy.into_iter().take(LAZY_FANOUT).filter(|&to| !self.holds_revision(to, rumour.revision)) {
             drafts.add(to, Purpose::Reply, []);
         }
@@ -406,7 +411,7 @@
     }
 
     /// Whether a rumour is still to be sent: it was never sent, or it has retries left and a receiver that
-    /// has not confirmed its revision.
+    /// has not stated that it knows of its revision.
     fn is_pending(&self, rumour: &Rumour) -> bool {
         let is_unconfirmed = rumour.receivers.iter().any(|&to| !self.knows_revision(to, rumour.revision));
         rumour.next_send_at.is_finite() && (rumour.times_sent == 0 || is_unconfirmed)
@@ -414,12 +419,12 @@
 
     /// Whether a peer has stated that its own list has this revision or a newer one.
     fn holds_revision(&self, peer: u16, revision: u64) -> bool {
-        self.peer_revisions.get(&peer).is_some_and(|known| known.held >= revision)
+        self.peer_revisions.get(&peer).is_some_and(|stated| stated.held >= revision)
     }
 
     /// Whether a peer has stated that it knows of this revision or a newer one.
     fn knows_revision(&self, peer: u16, revision: u64) -> bool {
-        self.peer_revisions.get(&peer).is_some_and(|known| known.known >= revision)
+        self.peer_revisions.get(&peer).is_some_and(|stated| stated.known >= revision)
     }
 
     /// Up to `count` random peers; all peers if there are no more than that.
--- a/crates/discovery/src/gossip/message.rs
+++ b/crates/discovery/src/gossip/message.rs
@@ -9,7 +9,8 @@
 //! | 9 per change | 6 for the endpoint's name tag, 1 for its status, 2 for the change's age in revisions |
 //! | 4 | a checksum of all preceding symbols |
 //!
-//! A symbol carries six bits (`policy::symbols`). A message that does not decode is ignored entirely.
+//! The age of a change counts back from the larger of the two revisions in the head. A symbol carries six
+//! bits (`policy::symbols`). A message that does not decode is ignored entirely.
 
 use brackenledge_policy::Readiness;
 use brackenledge_policy::hashing::hash;
@@ -100,6 +101,7 @@
     pub(super) held_revision: u64,
     /// The newest revision that the sender knows of.
     pub(super) known_revision: u64,
+    /// In a pull, only the entry that stands for the digest, if there is one.
     pub(super) changes: Vec<EndpointChange>,
 }
 
--- a/crates/discovery/src/lib.rs
+++ b/crates/discovery/src/lib.rs
@@ -35,6 +35,9 @@
 //! | signal from an endpoint's behaviour | [`handle_signal`] | `UpdateEndpoints` |
 //! | passage of time | [`handle_timeout`] | any of the above |
 //!
+//! The table names the commands that an input results in by itself. Most inputs also carry out what has
+//! become due by their time, and may then result in any command, [`Command::Event`] included.
+//!
 //! [`load_cached`]: EndpointDirectory::load_cached
 //! [`set_watching`]: EndpointDirectory::set_watching
 //! [`request_poll`]: EndpointDirectory::request_poll
--- a/crates/discovery/src/table.rs
+++ b/crates/discovery/src/table.rs
@@ -29,11 +29,12 @@
 /// them by then, because clients wait only a few seconds.
 const GONE_RETENTION: Millis = 600_000.0;
 
-/// A complete update of the list, or the cached list.
+/// A complete update, which is one that has arrived to its end, or the cached list. An update contains either
+/// all endpoints or only those that have changed.
 pub(crate) struct ListUpdate {
     pub(crate) revision: u64,
     pub(crate) source: StatusSource,
-    /// It contains all endpoints; those that it does not contain are gone.
+    /// Whether it contains all endpoints, so that those missing from it are gone.
     pub(crate) is_snapshot: bool,
     /// When the request that brought it was opened.
     pub(crate) requested_at: Millis,
@@ -76,6 +77,8 @@
     /// Endpoints whose changed entries have not been sent to the policy yet.
     changed: BTreeSet<WorkerId>,
     status_changes: StatusChanges,
+    /// The revision of the held list; `None` before the first list, and after a restart of the revision
+    /// numbering until the next update is applied.
     revision: Option<u64>,
     /// When the held revision arrived.
     revision_at: Millis,
@@ -266,7 +269,8 @@
         self.listed_ready -= usize::from(before == Readiness::Ready);
         match (before, after) {
             (Readiness::Ready, _) => self.rollout.record_removed(now, group),
-            // Endpoints in the first list are not part of a rollout.
+            // Endpoints in the first list, or in the first update after a restart of the revision numbering,
+            // are not part of a rollout.
             (_, Readiness::Ready) if self.revision.is_some() => self.rollout.record_added(now, group),
             _ => {}
         }
@@ -342,7 +346,8 @@
         self.free_ids.push(id);
     }
 
-    /// When the next endpoint is to be removed; infinite if none is.
+    /// When the next endpoint is to be removed; infinite if none is. Overrides have no timeout of their own:
+    /// expired ones are dropped by the next call of [`EndpointTable::expire`].
     pub(crate) fn next_timeout(&self) -> Millis {
         self.gone.first().map_or(Millis::INFINITY, |gone| gone.remove_at())
     }
--- a/crates/discovery/src/table/overrides.rs
+++ b/crates/discovery/src/table/overrides.rs
@@ -1,27 +1,29 @@
-//! Status overrides: reports that an endpoint is draining or gone which precede this scheduler's own list.
+//! Status overrides: reports that an endpoint is draining or gone which arrive before this scheduler's own
+//! list says so.
 
 use super::{EndpointTable, ListUpdate};
 use crate::endpoint::{StatusOverride, StatusSource};
 use crate::event::StatusChangeSource;
 use brackenledge_policy::{Millis, Readiness, WorkerId};
 
-/// An override that is neither confirmed nor superseded expires once a watch has worked for this long since
-/// it was received. Otherwise a single false report would last forever. Time without a working watch does not
-/// count, because the held list may then be older than the report.
+/// An override that no update supersedes expires once a watch has worked without interruption for this long
+/// after the override was received. Otherwise a single false report would last forever. Time without a
+/// working watch does not count, because the held list may then be older than the report.
 const OVERRIDE_TTL: Millis = 60_000.0;
 
 impl EndpointTable {
-    /// Withdraws an endpoint because of an entry in an incomplete update, whose revision is assumed to be the
-    /// next one.
+    /// Withdraws an endpoint because of an entry in an incomplete update. The revision of the update is
+    /// known only at its end, so it is assumed to be the one after the held revision.
     pub(crate) fn withdraw(&mut self, now: Millis, id: WorkerId, readiness: Readiness) {
         let revision = self.revision.unwrap_or(0) + 1;
         self.set_override(now, id, readiness, revision, StatusSource::PartialUpdate);
     }
 
-    /// Sets a status override if the report is newer than the held list and not older than the current
-    /// override. A report that an endpoint is ready again has no effect: removing the override would restore
-    /// the readiness in this scheduler's own list, which is older than the override and hence than the
-    /// endpoint's return. Returns whether a ready endpoint was withdrawn.
+    /// Sets a status override if the held list says that the endpoint is ready, and the report is newer than
+    /// that list and not older than the current override. A report that an endpoint is ready again has no
+    /// effect: without the override the endpoint would be ready by this scheduler's own list, which dates
+    /// from before the withdrawal and does not show the endpoint's return. Returns whether a ready endpoint
+    /// was withdrawn.
     pub(crate) fn set_override(
         &mut self,
         now: Millis,
--- a/crates/discovery/src/table/suspicion.rs
+++ b/crates/discovery/src/table/suspicion.rs
@@ -37,9 +37,9 @@
         let max_suspects =
             if unconfirmed { (MAX_SUSPECT_FRACTION * self.listed_ready as f64) as usize } else { 0 };
         self.update_suspects(now, max_suspects);
-        let rollout_counts = self.rollout.refresh(now) && unconfirmed;
-        if rollout_counts || self.rollout_applied {
-            self.apply_rollout(rollout_counts);
+        let rollout_applies = self.rollout.refresh(now) && unconfirmed;
+        if rollout_applies || self.rollout_applied {
+            self.apply_rollout(rollout_applies);
         }
     }
 
