--- a/crates/policy/src/dispatcher/answers.rs
+++ b/crates/policy/src/dispatcher/answers.rs
@@ -36,7 +36,8 @@
         }
     }
 
-    /// The client has disconnected: attempts in flight are cancelled, so that their slots become free.
+    /// Closes a job whose client has disconnected. If cancellation is enabled, its attempts in flight are
+    /// cancelled, so that their slots become free.
     pub(super) fn on_client_disconnected(&mut self, id: JobId, actions: &mut Vec<Action>) {
         if let Some(job) = self.jobs.get(&id).filter(|_| self.settings.cancellation) {
             let in_flight = job.in_flight();
@@ -45,7 +46,8 @@
         self.close_job(id);
     }
 
-    /// Ends a job; its state is removed once none of its attempts is in flight.
+    /// Takes a job out of the queue and marks it as answered. Its state is removed if none of its attempts is
+    /// in flight, or else when this is called again after the last one has ended.
     pub(super) fn close_job(&mut self, id: JobId) {
         let Some(job) = self.jobs.get_mut(&id) else { return };
         if std::mem::take(&mut job.queued) {
@@ -57,7 +59,8 @@
         }
     }
 
-    /// Rejects or fails a job whose queue deadline or client deadline has passed.
+    /// Rejects or fails a job that is still queued at its queue deadline, or whose client deadline has passed
+    /// by half of the answer slack, unless its response has begun to stream.
     pub(super) fn on_job_timer(&mut self, now: Millis, id: JobId, actions: &mut Vec<Action>) {
         let Some(job) = self.jobs.get(&id).filter(|job| !job.answered && !job.streaming) else { return };
         let now = now + CLOCK_RESOLUTION;
--- a/crates/policy/src/dispatcher/attempts.rs
+++ b/crates/policy/src/dispatcher/attempts.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-/// Affinity keys of the jobs last sent to a worker, whose data it is assumed to have cached.
+/// Number of affinity keys, of the jobs last sent to a worker, whose data it is assumed to have cached.
 const MAX_CACHED_KEYS: usize = 4;
 /// Load messages, counted per receiver, that each started attempt allows to be sent.
 const MESSAGES_PER_ATTEMPT: f64 = 1.0;
@@ -14,10 +14,10 @@
 pub(super) const RUN_TIME_WEIGHT: f64 = OBSERVATION_WEIGHT / 5.0;
 /// Weight of a new observation in the relative running time of a machine kind.
 const KIND_WEIGHT: f64 = OBSERVATION_WEIGHT / 5.0;
-/// Start delay, in latency objectives, that is recorded for an attempt rejected by a full worker.
+/// Start delay, as a multiple of the job's slack, that is recorded for an attempt rejected by a full worker.
 const FULL_WORKER_DELAY: f64 = 2.0;
-/// Pause after a rejection by a full worker, in running times; it doubles with each rejection, the first one
-/// included.
+/// Pause after a rejection by a full worker, in typical running times of the job's class, before it is
+/// multiplied by a random factor of 0.5 to 1.5; it doubles with each rejection, the first one included.
 const FULL_BACKOFF: f64 = 0.25;
 /// Limit on the doublings of that pause.
 const MAX_BACKOFF_DOUBLINGS: u32 = 4;
--- a/crates/policy/src/dispatcher/budget.rs
+++ b/crates/policy/src/dispatcher/budget.rs
@@ -19,15 +19,16 @@
 /// Quantile of the delays that the budget follows. The paper's 99th percentile would be the single worst
 /// delay in a window with few jobs.
 const DELAY_QUANTILE: f64 = 0.8;
-/// The budget grows while the delay is below this many latency objectives.
+/// The budget and the fraction of it for jobs of reduced weight each grow while the quantile that they follow
+/// is below this. Delays are multiples of their jobs' slack.
 const GROW_BELOW: f64 = 0.8;
-/// The budget is cut when the delay is above this many latency objectives.
+/// Either of them is cut when its quantile is above this.
 const CUT_ABOVE: f64 = 1.2;
 /// Factor of a cut. The paper's 0.5 is too much where all schedulers cut at the same time.
 const CUT_FACTOR: f64 = 0.8;
 /// Additive growth in slots per worker.
 const GROWTH: f64 = 0.5;
-/// Growth of a budget that made jobs wait, as a fraction of its size.
+/// Least growth of a budget that made jobs of full weight wait, as a fraction of its size.
 const HELD_BACK_GROWTH: f64 = 0.25;
 /// Fewest delays in the window that justify a cut.
 const MIN_DELAYS: usize = 20;
@@ -67,7 +68,7 @@
         used_slots == 0.0 && !has_reduced_weight || used_slots + slots <= limit
     }
 
-    /// Records how long a job waited at a worker, in latency objectives.
+    /// Records how long a job waited at a worker, as a multiple of its slack. Only jobs of full weight count.
     pub(super) fn record_start_delay(&mut self, now: Millis, has_reduced_weight: bool, delay: f64) {
         if !has_reduced_weight && delay.is_finite() {
             self.budget.delays.push(now, delay);
--- a/crates/policy/src/dispatcher/loads.rs
+++ b/crates/policy/src/dispatcher/loads.rs
@@ -19,6 +19,8 @@
         self.peer_loads.handle_message(now, from, text, own);
     }
 
+    /// Discards the expired loads of other schedulers. Then, in a small cluster, broadcasts the own loads if
+    /// schedulers exchange messages; in a large one, updates the expected load level of the ready workers.
     pub(super) fn exchange_loads(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.peer_loads.expire(now - PEER_LOAD_TTL);
         if !self.peer_loads.is_direct() {
@@ -72,7 +74,7 @@
         let sent_by_peers = || self.peer_loads.expected_remote_slots(now, id, worker.name_hash, in_flight);
         let peers = f64::from(self.settings.schedulers) - 1.0;
         let is_fresh = now - worker.reported_at < REPORT_TTL;
-        let remote = match worker.remote_slots {
+        let remote = match worker.reported_remote_slots {
             _ if is_complete => sent_by_peers(),
             Some(remote) if is_fresh => remote,
             None if !self.settings.peer_messages => in_flight * peers,
@@ -115,7 +117,7 @@
                 kind.slots.observe(free, in_flight);
             }
             let occupied = in_flight.max(worker.reported_slots.0 - free);
-            worker.remote_slots = Some((occupied - worker.in_flight_slots).max(0.0));
+            worker.reported_remote_slots = Some((occupied - worker.in_flight_slots).max(0.0));
         } else {
             kind.slots.observe_free(free);
             worker.reported_slots = kind.slots;
--- a/crates/policy/src/dispatcher/mod.rs
+++ b/crates/policy/src/dispatcher/mod.rs
@@ -43,14 +43,14 @@
 use fastrand::Rng;
 use std::collections::BTreeMap;
 
-/// Interval of the periodic work: detection of overdue and overtaken attempts, health checks, and, in a small
-/// cluster, load messages.
+/// Interval of the periodic work: detection of overdue and overtaken attempts, health checks, expiry of other
+/// schedulers' loads, and, in a small cluster, load messages.
 const SWEEP_INTERVAL: Millis = 200.0;
 /// The caller's clock may be rounded by up to this much.
 const CLOCK_RESOLUTION: Millis = 0.01;
-/// The first poll is made after a random delay of up to this fraction of the longest poll interval, a poll
-/// after a failure after half to one and a half times this fraction.
-const POLL_JITTER: f64 = 0.2;
+/// The watch of the endpoint list starts after a random delay of up to this fraction of the longest poll
+/// interval. After a failure it is started again after half to one and a half times this fraction.
+const WATCH_JITTER: f64 = 0.2;
 /// Weight of a new observation in the moving averages of a worker.
 const OBSERVATION_WEIGHT: f64 = 0.15;
 /// The fastest workers need at least this fraction of a job's expected running time.
@@ -78,15 +78,16 @@
     jobs: BTreeMap<JobId, Job>,
     job_timers: TimerQueue,
     /// When to start the watch of the endpoint list; infinite if it is not due.
-    poll_at: Millis,
+    watch_at: Millis,
     sweep_at: Millis,
     /// When the timer that was last requested from the caller expires; infinite if none is set.
     timer_at: Millis,
-    /// Queued jobs are not tried again before this time, as no worker had capacity for them a moment ago.
+    /// No queued job is tried before this time, as a tenant's turn ended with jobs that no worker could take.
     no_capacity_until: Millis,
     peer_loads: PeerLoads,
     key_popularity: KeyPopularity,
-    /// Load messages that may be sent, counted per receiver. Each started attempt adds to it.
+    /// Load messages that may be sent in a small cluster, counted per receiver. Each started attempt adds to
+    /// it.
     message_credit: f64,
     /// Whether the slots in flight have changed since they were last reported to other schedulers.
     slots_changed: bool,
@@ -104,7 +105,7 @@
         let lanes = PriorityLanes::new(&settings);
         let objectives: Millis = settings.classes.iter().map(|class| class.latency_objective).sum();
         let mut rng = Rng::with_seed(seed);
-        let poll_delay = POLL_JITTER * settings.max_poll_interval * rng.f64();
+        let watch_delay = WATCH_JITTER * settings.max_poll_interval * rng.f64();
         Dispatcher {
             rng,
             workers: Vec::new(),
@@ -119,7 +120,7 @@
             served_work: DecayingSum::default(),
             jobs: BTreeMap::new(),
             job_timers: TimerQueue::default(),
-            poll_at: if settings.list_on_request { now + poll_delay } else { f64::INFINITY },
+            watch_at: if settings.list_on_request { now + watch_delay } else { f64::INFINITY },
             sweep_at: now + SWEEP_INTERVAL,
             timer_at: f64::INFINITY,
             no_capacity_until: 0.0,
@@ -175,8 +176,8 @@
             self.exchange_loads(now, actions);
             self.check_health(now, actions);
         }
-        if now >= self.poll_at {
-            self.poll_at = f64::INFINITY;
+        if now >= self.watch_at {
+            self.watch_at = f64::INFINITY;
             actions.push(Action::WatchEndpoints { on: true });
         }
     }
@@ -185,7 +186,7 @@
     fn set_timer(&mut self, now: Millis, actions: &mut Vec<Action>) {
         let retry_at = if self.no_capacity_until > now { self.no_capacity_until } else { f64::INFINITY };
         let next = self.job_timers.next_expiry().min(self.budget.adjust_at).min(self.sweep_at);
-        let next = next.min(self.poll_at).min(retry_at);
+        let next = next.min(self.watch_at).min(retry_at);
         if next < self.timer_at {
             self.timer_at = next;
             actions.push(Action::SetTimer { after: (next - now).max(0.0) });
--- a/crates/policy/src/dispatcher/placement.rs
+++ b/crates/policy/src/dispatcher/placement.rs
@@ -1,7 +1,7 @@
 //! Placement: each job goes to the worker with the lowest cost, so that idle workers are used first.
 //!
-//! Costs are in milliseconds of expected delay. "Running times" in the constants are the typical ones of the
-//! job's class.
+//! Costs are in milliseconds of expected delay. "Running times" and "latency objectives" in the constants are
+//! the typical running time and the latency objective of the job's class.
 
 use super::*;
 
@@ -9,8 +9,8 @@
 const MAX_SCANNED_WORKERS: usize = 96;
 /// For a job with an affinity key, about this many of the workers nearest to the key are considered as well.
 const SCANNED_NEAR_KEY: f64 = 8.0;
-/// Expected wait, in running times, for each slot in flight where the free slots are not known, and for each
-/// slot whose job has not started.
+/// Expected wait, in running times, for each occupied slot of a worker whose free slots are unknown, and for
+/// each slot of this scheduler's attempts whose jobs are not known to have started.
 const OCCUPIED_SLOT_WAIT: f64 = 0.25;
 /// Cost reduction for each free slot, in running times.
 const FREE_SLOT_BONUS: f64 = 0.01;
@@ -35,7 +35,7 @@
 const CACHED_FETCH_FRACTION: f64 = 0.2;
 /// A key prefers a fraction of the workers that is this many times the key's fraction of the jobs.
 const PREFERRED_WORKERS_FACTOR: f64 = 2.5;
-/// Longest wait known from aggregated loads with which a job is sent, as a fraction of its slack.
+/// With aggregated loads, a job is sent only if its expected wait is at most this fraction of its slack.
 const MAX_KNOWN_WAIT_FRACTION: f64 = 0.8;
 
 impl Dispatcher {
@@ -78,21 +78,21 @@
         }
         // With aggregated loads the wait is known; a job that would wait too long stays queued, and the jobs
         // behind it are tried.
-        let is_known = self.peer_loads.has_aggregated(now);
+        let is_aggregated = self.peer_loads.has_aggregated(now);
         let max_wait =
-            if is_known { MAX_KNOWN_WAIT_FRACTION * self.slack(&self.jobs[&id]) } else { f64::INFINITY };
+            if is_aggregated { MAX_KNOWN_WAIT_FRACTION * self.slack(&self.jobs[&id]) } else { f64::INFINITY };
         best.filter(|&(_, wait, _)| wait <= max_wait).map(|(_, _, worker)| worker)
     }
 
-    /// Whether a job may be sent to a worker where it is expected to wait this long. If late answers of its
-    /// class are worth nothing and the worker's slots are known (but not by aggregated loads), the job must
-    /// meet its latency objective and leave other jobs time to meet theirs. A job that is already late must
-    /// not wait at all.
+    /// Whether a job may be sent to a worker where it is expected to wait this long. Any wait is admitted if
+    /// late answers of its class have a weight, if the worker's slots are unknown, or with aggregated loads.
+    /// Otherwise a job that was late on arrival must not wait at all, and any other job must meet its latency
+    /// objective and leave other jobs time to meet theirs.
     fn admits_wait(&self, now: Millis, worker: &Worker, job: &Job, wait: Millis) -> bool {
-        let is_known = self.known_slots(worker) > 0.0 && !self.peer_loads.has_aggregated(now);
+        let is_limited = self.known_slots(worker) > 0.0 && !self.peer_loads.has_aggregated(now);
         let end = now + wait + self.expected_run_time(now, worker, job);
         match self.settings.classes[job.class].late_weight {
-            late_weight if late_weight > 0.0 || !is_known => true,
+            late_weight if late_weight > 0.0 || !is_limited => true,
             _ if job.is_late => wait <= 0.0,
             _ => end <= job.objective_deadline && wait <= self.max_wait(worker),
         }
--- a/crates/policy/src/dispatcher/queues.rs
+++ b/crates/policy/src/dispatcher/queues.rs
@@ -5,7 +5,7 @@
 
 /// Fraction of its slack that a job may spend in the queue; a job that waits longer starts too late.
 const MAX_QUEUE_TIME_FRACTION: f64 = 0.4;
-/// Time until jobs that no worker had capacity for are tried again.
+/// Pause of all dispatch after a tenant's turn in which [`MAX_SKIPPED_JOBS`] jobs found no worker.
 const CAPACITY_RETRY_INTERVAL: Millis = 5.0;
 /// A tenant's turn ends after this many jobs that no worker can take now.
 const MAX_SKIPPED_JOBS: usize = 4;
@@ -17,7 +17,11 @@
 
 /// Result of a tenant's turn.
 enum Turn {
-    Done { has_started: bool, lacks_credit: bool },
+    /// `lacks_credit`: whether the turn ended as the credit was too low for the next job.
+    Done {
+        has_started: bool,
+        lacks_credit: bool,
+    },
     BudgetExhausted,
 }
 
@@ -78,7 +82,8 @@
 
     /// Starts attempts of queued jobs while the budget allows, in descending order of the jobs' weights.
     pub(super) fn dispatch_queued_jobs(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        // If no worker had capacity a moment ago, a new search for every event would cost too much.
+        // If no worker could take several jobs a moment ago, a new search for every event would cost too
+        // much.
         if now < self.no_capacity_until {
             return;
         }
--- a/crates/policy/src/dispatcher/workers.rs
+++ b/crates/policy/src/dispatcher/workers.rs
@@ -16,8 +16,8 @@
     pub(super) fn update_workers(&mut self, now: Millis, kind: ListKind, entries: Vec<WorkerEntry>) {
         match kind {
             ListKind::Failed => {
-                let delay = (0.5 + self.rng.f64()) * POLL_JITTER * self.settings.max_poll_interval;
-                self.poll_at = if self.settings.list_on_request { now + delay } else { f64::INFINITY };
+                let delay = (0.5 + self.rng.f64()) * WATCH_JITTER * self.settings.max_poll_interval;
+                self.watch_at = if self.settings.list_on_request { now + delay } else { f64::INFINITY };
                 return;
             }
             ListKind::Full => {
@@ -80,8 +80,8 @@
 
     /// Slow start without aggregated loads: a scheduler knows its own work only, and limits it by a token
     /// bucket to an equal share of what the worker may be sent. The capacity of the warm worker is taken from
-    /// the slots and the speed of its machine kind, or from the average work served per worker if that is
-    /// more. A job larger than the bucket is not sent to this worker.
+    /// the slots and the speed of its machine kind, or from the work of this scheduler that was recently
+    /// served per ready worker if that is more. A job larger than the bucket is not sent to this worker.
     fn slow_start_bucket_admits(&mut self, now: Millis, id: WorkerId, capacity: f64, work: f64) -> bool {
         let Settings { overload_multiple, overload_duration, schedulers, .. } = self.settings;
         let served = self.served_work.value_at(now, RATE_DECAY_TIME) / RATE_DECAY_TIME;
--- a/crates/policy/src/job.rs
+++ b/crates/policy/src/job.rs
@@ -7,13 +7,14 @@
 #[derive(Clone, Copy, Default)]
 pub(crate) struct Attempt {
     pub(crate) worker: WorkerId,
+    /// When it was sent; for an attempt of another scheduler, the earliest time at which it can have been.
     pub(crate) sent_at: Millis,
     /// When its worker reported that the job started; `None` if it has not.
     pub(crate) started_at: Option<Millis>,
     /// Expected wait at the worker; 0 if workers report when a job starts.
     pub(crate) expected_wait: Millis,
-    /// Expected time until it ends: the wait, and the running time on a standard core with the worker's
-    /// current fraction of its capacity.
+    /// Expected time from sending to end: `expected_wait`, plus the job's running time on a standard core
+    /// divided by the fraction of its capacity that the worker had when the attempt was sent.
     pub(crate) expected_duration: Millis,
     pub(crate) in_flight: bool,
     /// Whether it has ended and may have run.
@@ -51,9 +52,9 @@
     pub(crate) is_within_quota: bool,
     /// Whether it could no longer meet its latency objective when it arrived.
     pub(crate) is_late: bool,
-    /// The hash of its affinity key.
+    /// The hash of its affinity key; `None` if it has none.
     pub(crate) key: Option<u64>,
-    /// The fraction of all jobs that have this key.
+    /// The fraction of all jobs that have this key; 0 without a key.
     pub(crate) key_popularity: f64,
     /// An answer until this time meets the latency objective and earns the full weight.
     pub(crate) objective_deadline: Millis,
@@ -61,6 +62,7 @@
     pub(crate) deadline: Millis,
     /// Until when it may wait in the queue.
     pub(crate) queue_deadline: Millis,
+    /// Slots that each of its attempts occupies, at least 1.
     pub(crate) slots: f64,
     /// Expected running time on a standard core: the client's hint, or else the typical one of its class.
     pub(crate) run_time: Millis,
--- a/crates/policy/src/request_ages.rs
+++ b/crates/policy/src/request_ages.rs
@@ -11,7 +11,8 @@
         RequestAges(vec![0.0; classes])
     }
 
-    /// Takes in the time left of an arriving request. Returns how long ago the client first sent it.
+    /// Records the time left of an arriving request. Returns the estimated time since the client first sent
+    /// it.
     pub(crate) fn observe(&mut self, class: usize, time_left: Millis) -> Millis {
         let longest = &mut self.0[class];
         *longest = longest.max(time_left);
--- a/crates/policy/src/slot_budget.rs
+++ b/crates/policy/src/slot_budget.rs
@@ -37,14 +37,16 @@
     /// Slots that attempts in flight occupy.
     pub(crate) used_slots: f64,
     pub(crate) delays: DelayWindow,
+    /// When the budget is next adjusted.
     pub(crate) adjust_at: Millis,
     /// Number of adjustments to come before the budget may be cut again.
     pub(crate) hold: u32,
-    /// Whether a job within its quota had to wait for the budget since the last adjustment.
+    /// Whether a job of full weight, in time and within its quota, had to wait for the budget since the last
+    /// adjustment.
     pub(crate) held_back: bool,
-    /// Work that arrived within quotas, in slot-milliseconds.
+    /// Work that arrived within quotas, in slot-milliseconds; decays.
     pub(crate) quota_work: DecayingSum,
-    /// Minimum budget for jobs within their quota, in slots, derived from `quota_work`.
+    /// Minimum budget for jobs of full weight, in slots, derived from `quota_work`.
     pub(crate) floor: f64,
     /// The fraction of the budget that late jobs and jobs beyond their quota may use.
     pub(crate) over_quota_fraction: f64,
--- a/crates/policy/src/worker.rs
+++ b/crates/policy/src/worker.rs
@@ -8,9 +8,10 @@
 use crate::worker_list::{Readiness, WorkerEntry};
 use std::collections::VecDeque;
 
-/// A worker that is warming up is expected to have this fraction of the capacity beyond its guaranteed one.
+/// Fraction of the capacity not yet guaranteed that a worker which is warming up is expected to have.
 const LIKELY_CAPACITY_FRACTION: f64 = 0.4;
-/// Lower limit: no worker is assumed to be more than ten times as fast as a standard core.
+/// Lower limit of the relative running time: no worker is assumed to be more than ten times as fast as a
+/// standard core.
 const MIN_RELATIVE_RUN_TIME: f64 = 0.1;
 /// Lower limit of the fraction of its capacity that a worker is assumed to have.
 const MIN_CAPACITY_FRACTION: f64 = 0.05;
@@ -23,10 +24,11 @@
     pub(crate) kind: u32,
     pub(crate) cell: u32,
     pub(crate) readiness: Readiness,
-    /// Its size relative to other workers.
+    /// Its size relative to other workers; 1 unless workers are weighted by size.
     pub(crate) size: f64,
     /// When its process started; `None` if that was long ago.
     pub(crate) started_at: Option<Millis>,
+    /// Probability that it is draining although the list does not say so yet.
     pub(crate) drain_probability: f64,
     /// Slots that this scheduler's attempts occupy at the worker.
     pub(crate) in_flight_slots: f64,
@@ -34,7 +36,8 @@
     pub(crate) unstarted_slots: f64,
     pub(crate) slowness: SlownessEstimate,
     pub(crate) faults: FaultScore,
-    /// How long the last job that started at the worker had waited there; decays.
+    /// How long the last job that started at the worker had waited there, in milliseconds; decays. After a
+    /// rejection because the worker was full, one latency objective.
     pub(crate) start_wait: DecayingSum,
     /// When the last served attempt freed its slots; 0 once another attempt was sent.
     pub(crate) slot_freed_at: Millis,
@@ -42,12 +45,15 @@
     pub(crate) last_started_sent_at: Millis,
     /// No job is sent to the worker before this time, as it rejected an attempt because it was full.
     pub(crate) backoff_until: Millis,
-    /// Recent rejections because the worker was full; each started and each served job subtracts one.
+    /// Recent rejections because the worker was full, up to `MAX_BACKOFF_DOUBLINGS`; each started and each
+    /// served job subtracts one.
     pub(crate) recent_rejections: u32,
     /// All slots of the worker, by its load reports.
     pub(crate) reported_slots: SlotEstimate,
-    /// Slots that other schedulers occupied by the last load report; `None` if reports do not contain them.
-    pub(crate) remote_slots: Option<f64>,
+    /// Slots that other schedulers occupied, by the last load report that contained the requests in flight;
+    /// `None` before the first such report.
+    pub(crate) reported_remote_slots: Option<f64>,
+    /// When the last load report arrived; 0 if none has arrived from this process.
     pub(crate) reported_at: Millis,
     /// When the last health check was requested.
     pub(crate) health_checked_at: Millis,
