--- a/crates/daemon/src/net/backend/connection.rs
+++ b/crates/daemon/src/net/backend/connection.rs
@@ -46,17 +46,20 @@
     /// Identifies the connection in alarms, which may fire after its slot has been reused.
     pub(super) serial: u64,
     pub(super) is_connecting: bool,
+    /// `None` while the connection is idle, and once a task has ended before its response is complete.
     pub(super) task: Option<Task>,
     /// The head of the response that is being received; `None` between responses and before the head is
     /// complete.
     pub(super) response_head: Option<ResponseHead>,
+    /// When the last response was complete; before the first one, when the connection was created.
     pub(super) idle_since: Millis,
     /// Whether the connection has completed an exchange before.
     pub(super) is_reused: bool,
     /// The last byte of the request while it is withheld (see `LAST_BYTE_DELAY`).
     pub(super) withheld_byte: Option<u8>,
     pub(super) request_progress: RequestProgress,
-    /// When the worker reported that the job started; until then, when the request was buffered.
+    /// When the worker reported that the job started; until then, when the request was buffered. 0 while the
+    /// connection is being opened.
     pub(super) job_started_at: Millis,
 }
 
@@ -206,7 +209,8 @@
     fn on_input(&mut self, cx: &mut Context) -> Flow {
         let flow = self.read_response(cx);
         if flow == Flow::Close {
-            // A malformed response ends the exchange like a lost connection.
+            // A task that is still open has got a malformed response, and ends as if the connection were
+            // lost.
             self.on_connection_lost(cx);
         }
         flow
--- a/crates/daemon/src/net/backend/mod.rs
+++ b/crates/daemon/src/net/backend/mod.rs
@@ -9,7 +9,7 @@
 //! | `request_writer` | writes requests |
 //! | `response_reader` | reads responses line by line |
 //! | `pool` | finds, opens and closes connections |
-//! | `timeouts` | connect, response and health check timeouts |
+//! | `timeouts` | connect, response and health check timeouts, and the alarm for a withheld last byte |
 
 mod connection;
 mod pool;
--- a/crates/daemon/src/net/backend/pool.rs
+++ b/crates/daemon/src/net/backend/pool.rs
@@ -8,15 +8,15 @@
 use brackenledge_policy::{Effect, WorkerId};
 use std::net::SocketAddr;
 
-/// Fraction of the workers' idle timeout after which idle connections are closed here. A request written to a
-/// connection that the worker closes at the same time ends with a reset.
+/// Idle connections are closed here after this fraction of the time that workers keep them open. A request
+/// written to a connection that the worker closes at the same time ends with a reset.
 const IDLE_TIMEOUT_FRACTION: f64 = 0.8;
-/// Minimum time between the close of an idle connection here and the workers' idle timeout.
+/// Minimum time by which the close of an idle connection here precedes the close by the worker.
 const IDLE_TIMEOUT_MARGIN: Millis = 500.0;
-/// Minimum idle time, a few round trips, before a connection carries a request that is not safe to repeat. A
-/// worker may send a duplicate response some milliseconds after the first, and a response without a line
-/// names no request. On a connection that is reused at once, it would be taken for the response to the next
-/// request, and a job that may run would be treated as one that never ran.
+/// Minimum idle time, a few round trips, before a connection carries a request that is not
+/// [`Effect::Repeatable`]. A worker may send a duplicate response some milliseconds after the first, and a
+/// response without a line names no request. On a connection that is reused at once, the duplicate would be
+/// taken for the response to the next request, and a job that may run would be treated as one that never ran.
 const REUSE_DELAY: Millis = 20.0;
 
 /// How long a connection stays in the pool. `idle_limit`: how long workers keep an idle connection open.
@@ -25,7 +25,8 @@
 }
 
 impl Backend {
-    /// Finds or opens a connection for a task and returns its slot; `None` if no connection is available.
+    /// Finds or opens a connection for a task and returns its slot; `None` if no connection is available or
+    /// the worker's address is unknown.
     pub(super) fn assign(&mut self, task: Task, worker: WorkerId, cx: &mut Context) -> Option<usize> {
         let address = cx.endpoints.address(worker)?;
         if let Some(slot) = self.take_reusable(&task, worker, address, cx) {
--- a/crates/daemon/src/net/backend/request_writer.rs
+++ b/crates/daemon/src/net/backend/request_writer.rs
@@ -7,9 +7,9 @@
 use brackenledge_policy::Effect;
 use brackenledge_protocol::worker_request::{WorkerJobHead, encode_load_request};
 
-/// How long the last byte of a non-idempotent request is withheld after the rest, while reuse of connections
-/// is suspended: a round trip between zones. If the connection is reset in that time, the request was never
-/// complete and may be sent to another worker.
+/// While reuse of connections is suspended, the last byte of a non-idempotent request is withheld for this
+/// time, a round trip between zones. If the connection is reset in that time, the request was never complete
+/// and may be sent to another worker.
 const LAST_BYTE_DELAY: Millis = 12.0;
 
 impl WorkerConnection {
--- a/crates/daemon/src/net/commands.rs
+++ b/crates/daemon/src/net/commands.rs
@@ -11,8 +11,9 @@
 use brackenledge_policy::Outcome;
 use slog::info;
 
-/// `Retry-After` in milliseconds for a job whose request id is in use by another open job.
-const ID_IN_USE_RETRY_AFTER_MS: u32 = 1_000;
+/// `Retry-After` in milliseconds for a replicated job that is not admitted, because its payload can't be
+/// decoded or another open job has its request id.
+const NOT_ADMITTED_RETRY_AFTER_MS: u32 = 1_000;
 
 impl Scheduler<'_> {
     /// Executes the commands of all state machines until none is left, then flushes the batched peer
@@ -113,7 +114,7 @@
             Some(job) => job_failover.job_admitted(key, job),
             // The payload can't be decoded, or another open job has the request id. The client may retry.
             None => {
-                job_failover.job_not_admitted(&key, JobOutcome::Rejected(Some(ID_IN_USE_RETRY_AFTER_MS)));
+                job_failover.job_not_admitted(&key, JobOutcome::Rejected(Some(NOT_ADMITTED_RETRY_AFTER_MS)));
             }
         }
     }
@@ -151,6 +152,7 @@
             Command::CancelAttempt { id } | Command::WithdrawAttempt { id }
                 if cx.job_failover.as_mut().is_some_and(|job_failover| job_failover.cancel_attempt(id)) =>
             {
+                // Failover still held the attempt, so that it was not sent.
                 cx.engine.attempt_ended(id, Outcome::NeverSent, None);
             }
             Command::CancelAttempt { id } => self.backend.cancel(id, Outcome::Cancelled, cx),
--- a/crates/daemon/src/net/frontend/admission.rs
+++ b/crates/daemon/src/net/frontend/admission.rs
@@ -18,7 +18,8 @@
     pub(super) deadlines: Vec<Millis>,
     /// By class.
     pub(super) effects: Vec<Effect>,
-    /// Maximum number of jobs that clients wait for at the same time.
+    /// Maximum number of jobs that clients wait for at the same time; `usize::MAX` if the settings set no
+    /// limit.
     pub(super) max_open_jobs: usize,
     /// `Retry-After` of jobs that are rejected before they reach the policy; `None` if the settings disable
     /// the header.
--- a/crates/daemon/src/net/frontend/connection.rs
+++ b/crates/daemon/src/net/frontend/connection.rs
@@ -59,6 +59,7 @@
     pub(super) input_overflowed: bool,
     /// The sending half of the socket has been shut down.
     pub(super) write_closed: bool,
+    /// Whether the connection may stay open after the next response.
     pub(super) keep_alive: bool,
     /// The client has sent a complete request.
     pub(super) has_sent_request: bool,
@@ -129,9 +130,9 @@
     fn on_input(&mut self, cx: &mut Context) -> Flow {
         self.last_input_at = cx.now;
         self.read_requests(cx);
-        // Input is discarded after the last response so that the client can read it and its disconnect is
-        // noticed. The limit applies only then: while a job is open, the client gets its response however
-        // much it sends.
+        // Input is discarded after the last response so that the client can read that response and its
+        // disconnect is noticed. The limit applies only then: while a job is open, the client gets its
+        // response however much it sends.
         let over_limit = matches!(self.state, State::Closing) && self.discarded > MAX_DISCARDED_INPUT;
         if over_limit { Flow::Close } else { Flow::Keep }
     }
--- a/crates/daemon/src/net/frontend/mod.rs
+++ b/crates/daemon/src/net/frontend/mod.rs
@@ -109,7 +109,7 @@
     }
 
     /// Whether any client waits for a response or may still be sending. A client that has got its last
-    /// response but not closed its side may still have data in flight. If the process exited with that
+    /// response but not closed its side may still have data in flight. If the process exited with that data
     /// unread, the connection would be reset, possibly before the client has read the response. The linger
     /// timeout limits the wait for such clients.
     pub fn has_unfinished_clients(&self) -> bool {
--- a/crates/daemon/src/net/frontend/request_reader.rs
+++ b/crates/daemon/src/net/frontend/request_reader.rs
@@ -16,6 +16,7 @@
     body: Result<Body, RequestError>,
     keep_alive: bool,
     expects_continue: bool,
+    /// Length of the head in bytes.
     length: usize,
 }
 
--- a/crates/daemon/src/net/frontend/timeouts.rs
+++ b/crates/daemon/src/net/frontend/timeouts.rs
@@ -12,8 +12,8 @@
 const REQUEST_TIMEOUT: Millis = 2_000.0;
 /// A client that has not read its response within this time is assumed never to read it.
 const UNREAD_OUTPUT_TIMEOUT: Millis = 5_000.0;
-/// How long a connection stays open after its last response is written, so that the client can read that
-/// response while it still sends.
+/// How long a connection stays open after its last response was buffered, so that the client can read that
+/// response while it still sends. It stays open longer if the response is not written by then.
 const LINGER_TIMEOUT: Millis = 1_000.0;
 
 impl ClientConnection {
--- a/crates/daemon/src/net/scheduler.rs
+++ b/crates/daemon/src/net/scheduler.rs
@@ -83,12 +83,12 @@
     pub(super) job_failover: Option<JobFailover>,
     pub(super) zones: Option<ZoneRouting>,
     pub(super) peer_links: Option<PeerLinks>,
-    /// During a graceful shutdown, when it was first found that no work is pending.
+    /// During a graceful shutdown, when it was first found that no work is pending; `None` before.
     pub(super) idle_since: Option<Millis>,
     pub(super) signals: Signals,
     /// Reads the configuration again, on SIGHUP.
     pub(super) reload: Reload<'a>,
-    /// The address of discovery that the configuration file last stated.
+    /// The address of discovery that the configuration file last stated; `None` if it has stated none.
     pub(super) configured_discovery: Option<SocketAddr>,
     /// The longest deadline of all classes, in milliseconds.
     pub(super) max_deadline: Millis,
@@ -124,8 +124,8 @@
 
 impl Scheduler<'_> {
     /// Completes the graceful shutdown if no job is pending, no connection waits to be accepted, and the last
-    /// messages to other schedulers have been sent or their time is over. Returns whether the process may
-    /// exit.
+    /// messages to other schedulers have been sent or [`FINAL_FLUSH_TIMEOUT`] has passed. Returns whether the
+    /// process may exit.
     pub(super) fn try_finish(&mut self) -> bool {
         let Some(shutdown) = self.shutdown else { return false };
         if !shutdown.is_closing_connections(self.event_loop.now()) || self.has_pending_work() {
--- a/crates/engine/src/drain.rs
+++ b/crates/engine/src/drain.rs
@@ -17,9 +17,9 @@
 use brackenledge_policy::Millis;
 
 /// How long jobs are still admitted after LAMEDUCK. The front proxy checks health every 0.1 s and sends new
-/// connections for 0.2 s after the first failed check. A job that arrives after the grace period came on a
-/// connection that has been open for long, and is rejected with `Retry-After`: 4 s after the call, no job
-/// younger than 2 s may be in flight.
+/// connections for 0.2 s after the first failed check, so a job that arrives after the grace period came on a
+/// connection that has been open for long. It is rejected with `Retry-After`, because the platform checks 4 s
+/// after the call that no job younger than 2 s is in flight.
 pub const ADMISSION_GRACE: Millis = 1_500.0;
 
 /// Whether the scheduler is in rotation.
--- a/crates/engine/src/engine.rs
+++ b/crates/engine/src/engine.rs
@@ -17,7 +17,7 @@
 pub struct Engine {
     dispatcher: Dispatcher,
     max_attempts: usize,
-    /// Indexed by class: how long after the first attempt a retry may be written.
+    /// Indexed by class (see [`retry_window`]).
     retry_windows: Vec<Millis>,
     jobs: HashMap<JobId, Job>,
     last_job: JobId,
@@ -36,9 +36,9 @@
     class: usize,
 }
 
-/// How long after its first attempt a job of this class may be retried. Other limits on
-/// retries are the decision module's; this one bounds the delay from its decision to the last byte of the
-/// request.
+/// How long after the first attempt of a job of this class the request of a retry may be written; infinite
+/// unless the class is idempotent. The decision module has other limits on retries; this one bounds the delay
+/// from its decision to the last byte of the request.
 fn retry_window(class: &Class) -> Millis {
     if class.effect == Effect::Idempotent { class.deduplication_window } else { f64::INFINITY }
 }
@@ -81,14 +81,15 @@
         self.submitted_slots
     }
 
-    /// A frontend rejected a job of this class without submitting it, because too many were in flight.
+    /// Counts a job of this class that a frontend rejected without submitting it: too many jobs were open, or
+    /// the scheduler was draining or shutting down.
     pub fn rejected_at_admission(&mut self, class: usize) {
         self.stats.record(class, JobEnd::Rejected);
     }
 
     /// Submits a job. Returns its id, which the frontend uses to abandon it and which its answer carries.
     /// Returns `None` if a job with the same request id is open: that job may belong to another client and
-    /// must not be affected, and a worker would take the same request id for a second execution.
+    /// must not be affected, and a worker would take the new job for a second execution of it.
     pub fn submit_job(&mut self, now: Millis, submitted: JobRequest) -> Option<JobId> {
         if self.jobs.values().any(|job| job.request.id == submitted.request.id) {
             return None;
@@ -122,9 +123,9 @@
         }
     }
 
-    /// Answers every pending job because the process is about to exit, and withdraws its unsent attempts. A
-    /// job whose request no worker can have received completely is rejected with this `Retry-After`; any
-    /// other fails.
+    /// Answers all pending jobs because the process is about to exit, and withdraws their unsent attempts. A
+    /// job whose request no worker can have received completely is rejected with `retry_after`; any other
+    /// fails.
     pub fn fail_pending(&mut self, retry_after: Option<Millis>) {
         let pending = self.jobs.iter().filter(|(_, job)| job.is_pending());
         let mut ids: Vec<JobId> = pending.map(|(&id, _)| id).collect();
@@ -195,7 +196,8 @@
         self.events.push_back(Event::PeerMessage { from: u32::from(from), text });
     }
 
-    /// Sets the route cost of each zone, in latency objectives; empty if there is no traffic plan.
+    /// Sets the placement costs of the workers of each zone, in latency objectives and indexed by zone; empty
+    /// if there is no zone routing plan.
     pub fn set_zone_costs(&mut self, costs: Vec<f64>) {
         self.events.push_back(Event::ZoneCosts { costs });
     }
--- a/crates/engine/src/job.rs
+++ b/crates/engine/src/job.rs
@@ -15,16 +15,16 @@
 //! | job pending | the same, past the write deadline or over the attempt limit | attempt ended, never ran | |
 //! | attempt connecting | `attempt_sent` | attempt sent | |
 //! | attempt in flight | `attempt_ended` | attempt ended | |
-//! | attempt in flight | `attempt_served` | attempt ended; job answered | `Answer`, `WithdrawAttempt` |
-//! | job pending | `Action::Reject` or `Action::Fail` | job answered | `Answer`, `WithdrawAttempt` |
-//! | job pending | `fail_pending` | job answered | `Answer`, `WithdrawAttempt` |
-//! | job pending | `abandon_job` | job answered | `WithdrawAttempt`, no `Answer` |
-//! | job answered | `Action::StartAttempt` | attempt ended, never ran | |
-//! | job answered | its last attempt in flight has ended | (removed) | |
+//! | attempt in flight | `attempt_served` | attempt ended; job ended | `Answer`, `WithdrawAttempt` |
+//! | job pending | `Action::Reject` or `Action::Fail` | job ended | `Answer`, `WithdrawAttempt` |
+//! | job pending | `fail_pending` | job ended | `Answer`, `WithdrawAttempt` |
+//! | job pending | `abandon_job` | job ended | `WithdrawAttempt`, no `Answer` |
+//! | job ended | `Action::StartAttempt` | attempt ended, never ran | |
+//! | job ended | its last attempt in flight has ended | (removed) | |
 //!
-//! The types rule out any other order: answering a job takes the client out of `Pending`, so that it gets a
-//! single answer, and only an attempt in flight ([`InFlight`]) has transitions. An input for a removed job or
-//! an ended attempt does nothing.
+//! The types rule out any other order: ending a job takes the client out of `Pending`, so that it gets at
+//! most one answer, and only an attempt in flight ([`InFlight`]) has transitions. An input for a removed job
+//! or an ended attempt does nothing.
 
 use crate::attempt::{Attempt, AttemptDeadlines, InFlight};
 use crate::stats::JobEnd;
@@ -71,7 +71,7 @@
     Served(String),
     /// Rejected. The client may safely retry.
     Rejected {
-        /// How long the client should wait before a retry, if it is to be told.
+        /// How long the client should wait before a retry, in milliseconds; `None` if it is not told.
         retry_after: Option<Millis>,
     },
     /// Failed. The job may or may not have run.
@@ -94,8 +94,8 @@
 enum JobState {
     /// This client waits for an answer.
     Pending(ClientId),
-    /// The job has been answered, or its client has abandoned it.
-    Answered,
+    /// The job has been answered or abandoned.
+    Ended,
 }
 
 /// A job that the engine holds.
@@ -132,11 +132,11 @@
         matches!(self.state, JobState::Pending(_))
     }
 
-    /// Marks the job as answered and returns the client that waited; `None` if the job was not pending.
+    /// Marks the job as ended and returns the client that waited; `None` if the job was not pending.
     pub(crate) fn take_client(&mut self) -> Option<ClientId> {
-        match std::mem::replace(&mut self.state, JobState::Answered) {
+        match std::mem::replace(&mut self.state, JobState::Ended) {
             JobState::Pending(client) => Some(client),
-            JobState::Answered => None,
+            JobState::Ended => None,
         }
     }
 
@@ -174,9 +174,9 @@
         attempts.filter(|(_, attempt)| attempt.is_in_flight()).map(|(number, _)| number)
     }
 
-    /// Whether no worker can have received the complete request. False for
-    /// a job that reports its attempts while one is in flight: the receiver of the reports may know of an
-    /// execution that is not known here.
+    /// Whether no worker can have received the complete request. While an attempt is in flight, this is false
+    /// for a job that reports its attempts: the receiver of the reports may know of an execution that is not
+    /// known here.
     pub(crate) fn never_ran(&self) -> bool {
         let may_have_run = self.attempts.iter().any(Attempt::may_have_run);
         !(may_have_run || self.request.reports_attempts && self.has_attempt_in_flight())
--- a/crates/engine/src/shutdown.rs
+++ b/crates/engine/src/shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown on SIGTERM: until when clients are served, and by when every response must be written.
 //!
 //! **Invariant.** Every admitted job is answered before SIGKILL. SIGKILL follows SIGTERM after no less than
-//! the longest configured deadline (3 s if that is longer) plus 0.7 s. All times here are derived from that,
+//! the longest configured deadline (at most 3 s of it) plus 0.7 s. All times here are derived from that,
 //! since operators configure the deadlines: with deadlines of 1 s, a process that served clients for a fixed
 //! 2 s would receive SIGKILL with requests in flight.
 //!
@@ -12,7 +12,7 @@
 
 /// The platform waits for the longest configured deadline, but no longer than this, before SIGKILL.
 const MAX_AWAITED_DEADLINE: Millis = 3_000.0;
-/// Time from that deadline to SIGKILL.
+/// Time from the end of that wait to SIGKILL.
 const KILL_GRACE: Millis = 700.0;
 /// Part of [`KILL_GRACE`] that is reserved for a slow core, and for writing many responses that are due at
 /// once.
@@ -49,7 +49,8 @@
         self.started_at + (SERVING_FRACTION * time_to_answer).max(NEW_CLIENT_GRACE).min(time_to_answer)
     }
 
-    /// Whether no new request is read and connections are closed.
+    /// Whether [`Shutdown::serve_until`] has passed, so that idle connections are closed at once and all
+    /// others with their next response.
     pub fn is_closing_connections(&self, now: Millis) -> bool {
         now >= self.serve_until()
     }
--- a/crates/engine/src/stats.rs
+++ b/crates/engine/src/stats.rs
@@ -1,8 +1,9 @@
 //! Statistics for operators: how the jobs of each class ended, and how many jobs and endpoints there are now.
 //!
 //! Ends are counted where the engine ends a job, so that each job counts exactly once, whichever frontend
-//! submitted it and however it ended. Counts start at zero with the process and only grow. The module does no
-//! I/O and reads no clock.
+//! submitted it and however it ended. A job that a frontend rejects without submitting it is counted by
+//! [`Engine::rejected_at_admission`](crate::Engine::rejected_at_admission). Counts start at zero with the
+//! process and only grow. The module does no I/O and reads no clock.
 
 /// How the jobs of one class ended since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -20,7 +21,7 @@
 pub struct JobStats {
     /// Indexed by class, in the order of the settings.
     pub classes: Vec<ClassStats>,
-    /// Jobs whose client disconnected before the answer.
+    /// Jobs that [`Engine::abandon_job`](crate::Engine::abandon_job) ended before their answer.
     pub abandoned: u64,
     /// Attempts whose request was written completely to a worker.
     pub sent_attempts: u64,
@@ -66,8 +67,9 @@
     }
 }
 
-/// Formats the statistics as lines of `name=value`: the classes in the order of the settings, then the
-/// gauges. The admin endpoint shows these names to operators' tools, so they must not change.
+/// Formats the statistics as lines of `name=value`: the classes in the order of the settings, then the sent
+/// attempts and the gauges. The admin endpoint shows these names to operators' tools, so they must not
+/// change.
 pub fn render_lines(stats: &JobStats, class_names: &[String], gauges: &Gauges) -> Vec<String> {
     let mut lines = Vec::new();
     for (index, name) in class_names.iter().enumerate() {
