--- a/crates/daemon/src/net/cluster/mod.rs
+++ b/crates/daemon/src/net/cluster/mod.rs
@@ -31,8 +31,8 @@
 use slog::Logger;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// A process that superseded this one counts as gone once no datagram addressed to it has arrived for this
-/// long, in microseconds. Longer than membership takes to declare a member down.
+/// A process that superseded this one counts as gone once no datagram addressed to it has arrived here for
+/// this long, in microseconds. Longer than membership takes to declare a member down.
 const SUPERSEDED_TIMEOUT: Micros = 15_000_000;
 
 /// Upper limit of the delay that [`Cluster::handle_timeout`] returns, in milliseconds.
@@ -76,8 +76,9 @@
     /// aggregator's lease.
     withheld_aggregates: u64,
     malformed_datagrams: u64,
-    /// Set while this process is superseded: when a datagram addressed to its successor last arrived here.
-    superseded_at: Option<Micros>,
+    /// When a datagram addressed to the successor (the process that superseded this one) last arrived here
+    /// or, before the first, when the successor was detected; `None` while this process is not superseded.
+    successor_seen_at: Option<Micros>,
     leaving: bool,
     ordinal: u16,
     cluster_size: usize,
@@ -128,7 +129,7 @@
             epoch_store_failing: false,
             withheld_aggregates: 0,
             malformed_datagrams: 0,
-            superseded_at: None,
+            successor_seen_at: None,
             leaving: false,
             ordinal,
             cluster_size,
@@ -168,10 +169,10 @@
 
     fn handle_membership_message(&mut self, bytes: &[u8]) {
         let now = micros();
-        if self.superseded_at.is_none() {
+        if self.successor_seen_at.is_none() {
             self.membership.handle_message(millis(now), bytes);
         } else if self.membership.is_for_newer_incarnation(bytes) {
-            self.superseded_at = Some(now);
+            self.successor_seen_at = Some(now);
         }
     }
 
@@ -204,7 +205,7 @@
     /// Handles all due timeouts. Returns the delay until the next call, in milliseconds.
     pub fn handle_timeout(&mut self, socket: &PeerSocket, log: &Logger) -> Millis {
         let now = micros();
-        if let Some(last) = self.superseded_at {
+        if let Some(last) = self.successor_seen_at {
             if now < last + SUPERSEDED_TIMEOUT || self.leaving {
                 return MAX_TIMEOUT;
             }
@@ -244,7 +245,7 @@
             MembershipCommand::Superseded => {
                 events::process_superseded(log);
                 self.leases.leave(micros());
-                self.superseded_at = Some(micros());
+                self.successor_seen_at = Some(micros());
             }
         }
     }
@@ -289,7 +290,8 @@
     /// Updates the estimated number of schedulers that share the workers. Returns it if it has changed.
     pub fn take_active_member_change(&mut self) -> Option<u32> {
         let now = micros();
-        let listed = if self.superseded_at.is_some() { None } else { self.leases.active_member_count(now) };
+        let listed =
+            if self.successor_seen_at.is_some() { None } else { self.leases.active_member_count(now) };
         let count = self.active_members.update(now, listed);
         let previous = std::mem::replace(&mut self.reported_active_members, count);
         (previous != count).then_some(count as u32)
@@ -322,7 +324,7 @@
     }
 
     /// When this process's member lease expires; until then the process is guaranteed to be in the member
-    /// list.
+    /// list. `None` if this process holds no member lease.
     pub fn member_lease(&self) -> Option<Micros> {
         self.leases.member_lease(micros())
     }
@@ -332,7 +334,7 @@
         self.leases.holds_lease(micros(), role)
     }
 
-    /// The holder of a role, to this process's knowledge.
+    /// The holder of a role, to this process's knowledge; `None` if it knows of none.
     pub fn role_holder(&self, role: Role) -> Option<ProcessId> {
         let own = self.holds_lease(role).map(|_| self.me());
         own.or_else(|| self.leases.role_holder(role).map(|known| known.holder))
--- a/crates/daemon/src/net/job_failover/mod.rs
+++ b/crates/daemon/src/net/job_failover/mod.rs
@@ -1,5 +1,5 @@
 //! Driver for the job failover state machine of `brackenledge-failover`. It sits between the frontend, the
-//! engine and the links to other schedulers; `commands` executes the state machine's commands.
+//! engine and the links to other schedulers; `net::commands` executes the state machine's commands.
 //!
 //! The frontend submits jobs of replicated classes here instead of to the engine. When the state machine
 //! commands a job to start, the job is submitted to the engine like any other. Attempts of the engine pass
@@ -44,7 +44,7 @@
 pub struct EngineJob {
     /// Its id in the engine.
     pub id: JobId,
-    /// Its attempts that were held and had not been sent.
+    /// Its attempts that were held here, and so were not sent.
     pub held_attempts: Vec<AttemptId>,
 }
 
@@ -137,8 +137,8 @@
         self.failover.poll_command()
     }
 
-    /// Transfers all jobs that were not sent to a worker to other schedulers, at a graceful shutdown. Returns
-    /// their number.
+    /// At a graceful shutdown, transfers to other schedulers the owned jobs whose classes forbid some repeats
+    /// and of which no attempt may have run. Returns their number.
     pub fn transfer_all(&mut self) -> usize {
         self.failover.transfer_all(micros())
     }
--- a/crates/daemon/src/net/job_failover/replicated_job.rs
+++ b/crates/daemon/src/net/job_failover/replicated_job.rs
@@ -13,6 +13,7 @@
     pub(super) target: String,
     pub(super) content_type: Option<String>,
     pub(super) affinity_key: Option<String>,
+    /// Expected run time on a standard core, in milliseconds; `None` if the client gave none.
     pub(super) effort: Option<f64>,
     pub(super) slots: f64,
     pub(super) memory: f64,
--- a/crates/failover/src/client_job.rs
+++ b/crates/failover/src/client_job.rs
@@ -28,7 +28,8 @@
     pub(crate) number: u32,
     /// The first version of the record that contains the attempt.
     pub(crate) version: u32,
-    /// The attempt expires if the driver has not been permitted to send it by this time.
+    /// The attempt expires if the driver has not been permitted to send it by `Settings::deadline_margin`
+    /// before this time.
     pub(crate) deadline: Micros,
 }
 
@@ -51,7 +52,8 @@
     /// When the job was claimed (`Settings::claim_timeout` counts from then) or, while it is unclaimed, when
     /// it was submitted or taken over (`Settings::replication_delay` counts from then).
     pub(crate) timer_started_at: Micros,
-    /// Whether the driver (the code that calls this crate and runs the jobs) has been told to run the job.
+    /// Whether the driver has been told to run the job. Reset when the driver is told to stop, and when the
+    /// job ends while this process owns it.
     pub(crate) started: bool,
     /// Whether the job was taken over from another owner.
     pub(crate) taken_over: bool,
--- a/crates/failover/src/command.rs
+++ b/crates/failover/src/command.rs
@@ -1,4 +1,5 @@
-//! The interface to the driver: job submissions as inputs, commands and events as outputs.
+//! The interface to the driver, which is the code that calls this crate and runs the jobs: job submissions as
+//! inputs, commands and events as outputs.
 
 use crate::job_key::JobKey;
 use crate::job_record::{JobOutcome, PriorExecution};
@@ -17,7 +18,7 @@
     /// Whether the class forbids some repeats. If so, no attempt is sent before replicas have acknowledged
     /// its record.
     pub requires_ack: bool,
-    /// Whether the job is rejected rather than run without replicas.
+    /// Whether the job is rejected, rather than run without replicas, if it can't be replicated.
     pub requires_replication: bool,
     /// The client's deadline, by the caller's clock.
     pub deadline: Micros,
@@ -35,7 +36,8 @@
         /// Whether to send it at once; otherwise it may be batched with later messages.
         urgent: bool,
     },
-    /// Run a job that this process owns or runs unreplicated.
+    /// Run a job. Its claim may not have been granted yet; attempts that must be acknowledged first wait for
+    /// [`Command::PermitAttempt`].
     StartJob {
         /// The job.
         key: JobKey,
@@ -48,7 +50,8 @@
         /// Whether the job was taken over from another owner.
         taken_over: bool,
     },
-    /// Send an attempt whose record has now been acknowledged.
+    /// Send an attempt that was requested: its record has now been acknowledged, or the job now runs without
+    /// replicas.
     PermitAttempt {
         /// The job.
         key: JobKey,
--- a/crates/failover/src/coordinator/mod.rs
+++ b/crates/failover/src/coordinator/mod.rs
@@ -74,7 +74,8 @@
         self.ensure_replicated(now, &key);
     }
 
-    /// Rejects a claim to a job that has ended or has another owner, and returns whether it did.
+    /// Rejects a claim to a job that has ended or has another owner, or ignores one that is older than the
+    /// claimant's own ownership. Returns whether it did either.
     fn refuse_claim(&mut self, claimant: ProcessId, key: &JobKey, claim_id: u64) -> bool {
         let Some(replica) = self.replicas.get(key) else { return false };
         let record = &replica.record;
--- a/crates/failover/src/coordinator/replication.rs
+++ b/crates/failover/src/coordinator/replication.rs
@@ -6,7 +6,9 @@
 
 impl Failover {
     /// Sends a record to further replicas until it has the wanted number of them, and confirms its current
-    /// version to the owner once the needed number have acknowledged it.
+    /// version to the owner once the needed number have acknowledged it. Needed are as many as
+    /// `Settings::replication_factor` requires besides the coordinator's copy; wanted are these and
+    /// `ReplicaRecord::extra_replicas`. Both are limited by the number of members.
     pub(super) fn ensure_replicated(&mut self, now: Micros, key: &JobKey) {
         if !self.all_reported {
             return;
--- a/crates/failover/src/coordinator/takeover.rs
+++ b/crates/failover/src/coordinator/takeover.rs
@@ -11,12 +11,14 @@
 enum Resolution {
     /// Keep it and replicate it under the new member list.
     Keep,
-    /// The owner is gone: take the job over.
+    /// Take the job over: the owner is gone, or it is a member but has not reported the job, which may have
+    /// run.
     TakeOver,
-    /// The owner is gone, the deadline has passed, and the job may have run: record that it failed, so that a
-    /// late submission does not run it again.
+    /// As for `TakeOver`, but the deadline has passed, the class forbids some repeats and the job may have
+    /// run: record that it failed, so that a late submission does not run it again.
     Fail,
-    /// Drop it: the deadline has passed, so no client waits for the job, or its owner no longer has it.
+    /// Drop it: the owner is gone and the deadline has passed, so no client waits for the job, or the owner
+    /// is a member and no longer has the job.
     Drop,
 }
 
--- a/crates/failover/src/discarded_claims.rs
+++ b/crates/failover/src/discarded_claims.rs
@@ -40,8 +40,8 @@
 }
 
 impl Failover {
-    /// Tells the coordinator that the record of a claim is no longer needed, and stores the claim if its
-    /// class requires acknowledgements.
+    /// Tells the coordinator that the record of a claim is no longer needed. If the job's class forbids some
+    /// repeats, stores the claim, so that the discard is sent again under later member lists.
     pub(crate) fn send_discard(&mut self, key: &JobKey, claim_id: u64, urgent: bool) {
         let replicated = self.jobs.get(key).filter(|job| job.record.requires_ack);
         if let Some(deadline) = replicated.map(|job| job.record.deadline) {
--- a/crates/failover/src/job_owner/attempts.rs
+++ b/crates/failover/src/job_owner/attempts.rs
@@ -8,7 +8,7 @@
 impl Failover {
     /// Requests permission to send an attempt to a worker, and returns whether it may be sent at once. If
     /// not, [`Command::PermitAttempt`] or [`Command::AttemptExpired`] follows. `attempt` counts from 0 with
-    /// each [`Command::StartJob`].
+    /// each [`Command::StartJob`]. The attempt expires `Settings::deadline_margin` before `deadline`.
     pub fn request_attempt(
         &mut self,
         now: Micros,
--- a/crates/failover/src/job_owner/mod.rs
+++ b/crates/failover/src/job_owner/mod.rs
@@ -33,7 +33,7 @@
     }
 
     /// Attaches the client to the job if it is known here, or answers it from the record of the finished job.
-    /// Returns whether there was either.
+    /// Returns whether it did either.
     fn attach_to_known_job(&mut self, waiter: Waiter, key: &JobKey, deadline: Micros) -> bool {
         if let Some(job) = self.jobs.get_mut(key) {
             self.counters.attached += 1;
@@ -96,8 +96,9 @@
         self.deliver_loopback(now);
     }
 
-    /// Transfers the jobs of which no attempt may have run, for a graceful shutdown, and rejects them to
-    /// their clients with a `Retry-After`. Returns the number of these jobs.
+    /// For a graceful shutdown, transfers the owned jobs whose classes forbid some repeats and of which no
+    /// attempt may have run, and rejects them to their clients with a `Retry-After`. Returns the number of
+    /// these jobs.
     pub fn transfer_all(&mut self, now: Micros) -> usize {
         let unsent = |job: &ClientJob| {
             job.state == ClaimState::Owned
@@ -158,8 +159,8 @@
         self.commands.push_back(Command::StartJob { key, payload, deadline, prior_execution, taken_over });
     }
 
-    /// Handles a job that cannot be replicated: runs it without replicas, or rejects it if it requires
-    /// replication or may already have run.
+    /// Handles a job that cannot be replicated: runs it without replicas, or, if it requires replication or
+    /// may already have run, ends it with [`ClientJob::outcome_if_abandoned`].
     fn run_unreplicated_or_reject(&mut self, key: &JobKey) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         job.mark_unacked_as_never_ran();
@@ -190,7 +191,8 @@
     }
 
     /// Makes this process the owner of a job that it has taken over as coordinator. The job starts once its
-    /// replicas have acknowledged the takeover.
+    /// replicas have acknowledged the takeover; one that already runs here and may run any number of times
+    /// continues.
     pub(crate) fn become_owner(&mut self, now: Micros, key: &JobKey, record: JobRecord) {
         let running = |job: &&mut ClientJob| job.started && !job.record.requires_ack;
         if let Some(job) = self.jobs.get_mut(key).filter(running) {
@@ -207,8 +209,8 @@
         self.jobs.insert(key.clone(), job);
     }
 
-    /// Gives up ownership of a job that another process owns now. Its local clients continue to wait; if
-    /// there are none, the job is removed.
+    /// Gives up ownership of a job that another process owns now or may take over. Its local clients
+    /// continue to wait; if there are none, the job is removed.
     pub(crate) fn lose_ownership(&mut self, key: &JobKey) {
         let Some(job) = self.jobs.get_mut(key) else { return };
         self.counters.ownership_lost += 1;
--- a/crates/failover/src/job_owner/timeouts.rs
+++ b/crates/failover/src/job_owner/timeouts.rs
@@ -29,10 +29,11 @@
         }
     }
 
-    /// Answers clients whose own deadlines have passed. A client's deadline may be before the job's, because
-    /// the job's deadline may have been passed on by other schedulers. If the job runs here, its clients are
-    /// answered `deadline_margin` later, so that its own end comes first; if another process owns it, the
-    /// answer is `Failed`, since it may have run.
+    /// Answers clients by their own deadlines. A client's deadline may be before the job's, because the job's
+    /// deadline may be that of another client or have been passed on by another scheduler. If another process
+    /// owns the job, its clients are answered `deadline_margin` before their deadlines, with `Failed`, since
+    /// the job may have run. Otherwise they are answered `deadline_margin` after their deadlines, so that the
+    /// job's own end comes first.
     fn expire_clients(&mut self, now: Micros, key: &JobKey) {
         let margin = self.settings.deadline_margin;
         let Some(job) = self.jobs.get(key) else { return };
--- a/crates/failover/src/job_record.rs
+++ b/crates/failover/src/job_record.rs
@@ -99,7 +99,8 @@
 const ATTEMPT_OVERHEAD: usize = 64;
 
 impl JobRecord {
-    /// Returns the first attempt that may have run, with an upper bound of the time since it was sent.
+    /// Returns the first attempt that may have run, with an upper bound of the time since it was sent; `None`
+    /// if no attempt may have run.
     pub fn prior_execution(&self, now: Micros) -> Option<PriorExecution> {
         let first = self
             .attempts
@@ -231,7 +232,8 @@
     pub version: u32,
     /// What to run, encoded by the driver; empty once the job has ended.
     pub payload: Arc<[u8]>,
-    /// Whether no attempt is sent before replicas have acknowledged its record.
+    /// Whether the class forbids some repeats. If so, no attempt is sent before replicas have acknowledged
+    /// its record.
     pub requires_ack: bool,
     /// Time until the job's deadline when the snapshot was made.
     pub time_left: Micros,
--- a/crates/failover/src/lib.rs
+++ b/crates/failover/src/lib.rs
@@ -131,7 +131,7 @@
     reported: BTreeSet<u16>,
     /// Whether the reports of all members are complete.
     all_reported: bool,
-    /// When the local member lease expires.
+    /// When the local member lease expires; 0 if this process holds none.
     lease_expiry: Micros,
     /// The latest expiry of any member lease that this process has held.
     latest_lease_expiry: Micros,
--- a/crates/failover/src/member_list.rs
+++ b/crates/failover/src/member_list.rs
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Under a new member list, reports the jobs that this process owns to their coordinators, and claims the
-    /// others again.
+    /// Under a new member list, reports the jobs that this process owns to their coordinators, and claims
+    /// again those whose claims are pending and those that other processes owned.
     fn report_all_owned(&mut self, now: Micros) {
         let keys: Vec<JobKey> = self.jobs.keys().cloned().collect();
         for key in keys {
--- a/crates/failover/src/replica.rs
+++ b/crates/failover/src/replica.rs
@@ -17,17 +17,20 @@
     size: usize,
     /// When the record is dropped.
     expires_at: Micros,
-    /// The version that each further replica has acknowledged, by the replica's ordinal.
+    /// The version that each further replica has acknowledged, by the replica's ordinal; `None` before its
+    /// first acknowledgement.
     pub(crate) acked_versions: BTreeMap<u16, Option<u32>>,
-    /// Number of replicas wanted beyond the needed ones, to replace some that have not acknowledged in time.
+    /// Number of replicas wanted beyond those that `Settings::replication_factor` requires, to replace some
+    /// that have not acknowledged in time.
     pub(crate) extra_replicas: usize,
-    /// The version acknowledged to the owner.
+    /// The version acknowledged to the owner; `None` before the first such acknowledgement.
     pub(crate) confirmed_version: Option<u32>,
     /// Whether [`Message::ClaimGranted`] has still to be sent to the owner.
     pub(crate) grant_pending: bool,
     /// Processes whose clients wait for the outcome.
     pub(crate) attached: Vec<ProcessId>,
-    /// Since when acknowledgements of replicas have been outstanding; `None` if there are enough.
+    /// Since when acknowledgements of replicas have been outstanding, or when this last led to an extra
+    /// replica; `None` if there are enough acknowledgements.
     pub(crate) awaiting_since: Option<Micros>,
     /// Whether the owner has claimed or reported the job under this member list.
     pub(crate) owner_reported: bool,
--- a/crates/failover/src/settings.rs
+++ b/crates/failover/src/settings.rs
@@ -21,7 +21,8 @@
     /// The age at which a job that may run any number of times is replicated. Most such jobs have ended by
     /// then and need no messages.
     pub replication_delay: Micros,
-    /// How long before its deadline a job is ended, so that the answer reaches the client in time.
+    /// How long before its deadline a job is ended, so that the answer reaches the client in time. Attempts
+    /// that wait for acknowledgements expire as long before theirs.
     pub deadline_margin: Micros,
 }
 
