--- a/crates/leases/src/active_members.rs
+++ b/crates/leases/src/active_members.rs
@@ -54,7 +54,7 @@
         self.pending_decrease = Some(pending);
         if now >= pending.since.saturating_add(self.settle_time) {
             self.count = pending.largest;
-            // A count that is smaller still has to settle, too, starting now.
+            // If the current count is even smaller, that further decrease has to settle too, from now on.
             self.pending_decrease =
                 (current < pending.largest).then_some(PendingDecrease { largest: current, since: now });
         }
--- a/crates/leases/src/candidate.rs
+++ b/crates/leases/src/candidate.rs
@@ -3,8 +3,10 @@
 use crate::{AcceptedView, Ballot, Micros, ProcessId, View};
 use std::collections::BTreeMap;
 
-/// An attempt to be elected, and the leadership that results from it. It ends when another view is entered or
-/// a later ballot is promised.
+/// An attempt to be elected, and the leadership that results from it. It ends when another view is entered, a
+/// voter has promised a later ballot, this process defers to another candidate, or the lease is lost or
+/// released. Before the election, it also ends at its deadline, or when a voter reports that another process
+/// holds the lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Campaign {
     pub(crate) ballot: Ballot,
@@ -14,6 +16,7 @@
     pub(crate) promises: BTreeMap<ProcessId, Option<AcceptedView>>,
     /// Voters that granted the lease, each with the time of the latest request that it granted.
     pub(crate) lease_grants: BTreeMap<ProcessId, Micros>,
+    /// `None` as long as no next view has been proposed or must be.
     pub(crate) proposal: Option<Proposal>,
     /// Whether a majority has promised.
     pub(crate) elected: bool,
@@ -44,7 +47,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Candidate {
     pub(crate) campaign: Option<Campaign>,
-    /// The highest ballot counter known in this view.
+    /// The highest counter, in this view, of this process's own ballots and of those that rejections have
+    /// reported.
     pub(crate) highest_counter: u32,
     /// Whether this process has deferred to another candidate since its own last campaign.
     pub(crate) deferred: bool,
--- a/crates/leases/src/election.rs
+++ b/crates/leases/src/election.rs
@@ -95,8 +95,8 @@
     }
 
     /// Asks all voters for promises. A leader that has just entered another view requests the lease at the
-    /// same time: the rest of its lease may be shorter than two round trips, and until then the voters grant
-    /// the lease to no other process anyway.
+    /// same time: the rest of its lease may be shorter than two round trips, and until it expires the
+    /// voters grant the lease to no other process anyway.
     fn send_prepare(&mut self, now: Micros, ballot: Ballot) {
         self.send_to_voters(Message::Prepare { from: self.me, epoch: self.view.epoch, ballot });
         if self.is_leader(now) {
@@ -202,8 +202,8 @@
         self.begin_phase_two(now, voters, view);
     }
 
-    /// A majority has promised. `accepted` is a next view that may already have been chosen, so no other view
-    /// may be proposed.
+    /// Called when a majority, `voters`, has promised. `accepted` is the next view that any of them accepted
+    /// under the highest ballot: it may already have been chosen, so no other view may be proposed.
     fn begin_phase_two(&mut self, now: Micros, voters: Vec<ProcessId>, accepted: Option<View>) {
         if self.view.is_bootstrap() {
             let view = accepted.unwrap_or_else(|| self.first_view(voters));
--- a/crates/leases/src/heartbeat.rs
+++ b/crates/leases/src/heartbeat.rs
@@ -74,8 +74,9 @@
     }
 
     fn follow_leader(&mut self, now: Micros, leader: KnownLeader) {
-        // Two processes can hold the lease at the same time only if a clock has drifted by more than the
-        // bound. The lease of the higher ballot was granted later, so it prevails.
+        // Two processes can hold the lease at the same time only if a clock has drifted by more than
+        // `Settings::clock_drift_divisor` allows. The lease of the higher ballot was granted later, so it
+        // prevails.
         let lease = self.leadership.lease(now);
         if lease.is_some_and(|lease| lease.epoch == self.view.epoch && lease.ballot < leader.ballot) {
             self.resign(now);
--- a/crates/leases/src/leader.rs
+++ b/crates/leases/src/leader.rs
@@ -18,7 +18,8 @@
 pub(crate) struct Leader {
     /// The last lease, which may have expired. [`Leader::lease`] checks that.
     pub(crate) lease: Option<LeaderLease>,
-    /// Until then, the lease is renewed only if less than half of it is left.
+    /// When the next heartbeat is due. Before that, the lease is renewed only if less than half of the lease
+    /// duration is left.
     pub(crate) next_heartbeat_at: Micros,
     /// Step of the last term issued by this process, under any ballot.
     last_step: u32,
--- a/crates/leases/src/lib.rs
+++ b/crates/leases/src/lib.rs
@@ -90,7 +90,8 @@
 /// Number of a role. The caller defines what each role does.
 pub type Role = u8;
 
-/// The leader of the view, as announced by its own last view update.
+/// A leader and the ballot under which it was elected. The ballot is the default one if the leader has
+/// entered the view but has not been elected in it yet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct KnownLeader {
     process: ProcessId,
@@ -104,7 +105,8 @@
 pub struct LeaseManager {
     me: ProcessId,
     settings: Settings,
-    /// Wall-clock time at the start, used as the era when the cluster bootstraps.
+    /// Unix time of the start in seconds. A bootstrap uses it as the era, or the latest known era plus
+    /// 1 if that is higher.
     started_unix_seconds: u32,
     started_at: Micros,
     /// Processes that membership reports as alive, including this one.
@@ -114,7 +116,11 @@
     latest_epoch: Epoch,
     /// Views up to this epoch were abandoned: this process no longer votes in them.
     abandoned_epoch: Epoch,
+    /// When this process last received an update from the view's leader or, as the leader, sent one. Before
+    /// that: when it started or entered the view.
     last_leader_contact: Micros,
+    /// Leader of the current view by its own announcement, or this process once it holds the lease. `None` if
+    /// none is known in this view yet. Kept after the leader's lease has expired.
     known_leader: Option<KnownLeader>,
     voter: Voter,
     candidate: Candidate,
--- a/crates/leases/src/member_lease.rs
+++ b/crates/leases/src/member_lease.rs
@@ -23,8 +23,8 @@
 pub(crate) struct MemberLeases {
     /// By the member's ordinal.
     leases: BTreeMap<u16, MemberLease>,
-    /// Members that did not renew in time. They are excluded from the member list until they request a lease
-    /// again, even if membership reports them as alive.
+    /// Members that did not renew in time and, for a new leader, the previous leader. They are excluded from
+    /// the member list until they request a lease again, even if membership reports them as alive.
     expired: Members,
 }
 
@@ -57,7 +57,7 @@
         self.leases.retain(|_, lease| now < lease.expires_at);
     }
 
-    /// The processes of `alive` whose lease has not expired, and all processes that hold a lease.
+    /// The processes of `alive` that are not marked as expired, and all processes that hold a lease.
     fn listed_members(&self, alive: &Members) -> Members {
         let mut members = alive.clone();
         members.retain(|process| !self.expired.contains(process));
@@ -143,8 +143,8 @@
         self.send(leader.process, Message::MemberLeaseRequest { from: self.me, requested_at: now });
     }
 
-    /// As the leader: the members of the next list. These are all live processes whose lease has not expired,
-    /// and all processes that hold a lease.
+    /// As the leader: the members of the next list. These are all live processes that are not marked as
+    /// expired, and all processes that hold a lease.
     pub(crate) fn target_members(&mut self, now: Micros) -> Members {
         let expires_at = self.member_lease_end(now);
         let enabled = self.member_leases_enabled();
--- a/crates/leases/src/members.rs
+++ b/crates/leases/src/members.rs
@@ -27,7 +27,7 @@
         self.incarnations.get(&process.ordinal) == Some(&process.incarnation)
     }
 
-    /// The process with this ordinal, whichever its incarnation.
+    /// The process with this ordinal, whichever its incarnation. `None` if the set has none.
     pub fn get(&self, ordinal: u16) -> Option<ProcessId> {
         self.incarnations.get(&ordinal).map(|&incarnation| ProcessId { ordinal, incarnation })
     }
--- a/crates/leases/src/message.rs
+++ b/crates/leases/src/message.rs
@@ -42,6 +42,7 @@
     /// The leader gives its lease back.
     LeaseRelease { from: ProcessId, epoch: Epoch, ballot: Ballot },
     /// The sender's view, the view's leader and its ballot, and, if sent by the leader, the holders of roles.
+    /// `ballot` is the default if `leader` is absent or has not been elected in this view yet.
     ViewUpdate {
         from: ProcessId,
         view: View,
@@ -53,15 +54,17 @@
     MemberListPart { from: ProcessId, term: Term, part: u8, parts: u8, members: Vec<ProcessId> },
     /// A process asks the leader for a role lease, or for its renewal.
     RoleLeaseRequest { from: ProcessId, role: Role, requested_at: Micros },
-    /// The leader grants a role lease for `duration`, counted from `requested_at`.
+    /// The leader grants a role lease for `duration`, counted from `requested_at`, which is copied from the
+    /// request.
     RoleLeaseGrant { from: ProcessId, role: Role, term: Term, requested_at: Micros, duration: Micros },
     /// The holder gives a role lease back.
     RoleLeaseRelease { from: ProcessId, role: Role, term: Term },
     /// A process asks the leader for a member lease, or for its renewal.
     MemberLeaseRequest { from: ProcessId, requested_at: Micros },
-    /// The leader keeps the receiver in the member list for `duration`, counted from `requested_at`.
+    /// The leader keeps the receiver in the member list for `duration`, counted from `requested_at`, which is
+    /// copied from the request.
     MemberLeaseGrant { from: ProcessId, requested_at: Micros, duration: Micros },
-    /// The sender shuts down and may be removed from the member list at once.
+    /// The sender shuts down: its lease no longer keeps it in the member list.
     MemberLeaseRelease { from: ProcessId },
 }
 
--- a/crates/leases/src/role_leases.rs
+++ b/crates/leases/src/role_leases.rs
@@ -153,8 +153,8 @@
         members.filter(|&ordinal| rendezvous_rank(role, ordinal) < own).count() as u64
     }
 
-    /// Requests the renewal of roles that this process holds, and free roles once this process's delay is
-    /// over.
+    /// Requests the renewal of roles that this process holds, and free roles once this process's
+    /// stagger delay for the role is over.
     pub(crate) fn request_role_leases(&mut self, now: Micros) {
         let Some(leader) = self.known_leader.map(|leader| leader.process) else { return };
         if now < self.role_leases.next_request_at && leader != self.me || self.leaving {
@@ -269,7 +269,9 @@
         if granted.is_some_and(|lease| lease.holder == from && lease.term == term) {
             self.role_leases.granted.remove(&role);
             self.emit(Event::RoleLeaseReleased { role, holder: from });
-            // The other members learn of the release from the next heartbeat, which becomes due at once.
+            // The other members learn of the release when heartbeats no longer announce the holder. The next
+            // heartbeat is not brought forward: `schedule_campaign` has no effect while the leader's own
+            // campaign lasts.
             self.role_leases.observed.remove(&role);
             self.candidate.schedule_campaign(now, 0);
         }
--- a/crates/leases/src/settings.rs
+++ b/crates/leases/src/settings.rs
@@ -18,7 +18,8 @@
     pub clock_drift_divisor: u64,
     /// How long a process must have known no view before it takes part in a bootstrap. Longer than any lease.
     pub bootstrap_timeout: Micros,
-    /// A view is abandoned after this time without a known leader, if most of its voters are gone.
+    /// A view is abandoned after this time without an update from its leader, if fewer than a majority of
+    /// its voters are alive.
     pub view_abandon_timeout: Micros,
     /// Number of roles; they are numbered from 0.
     pub roles: Role,
--- a/crates/leases/src/status.rs
+++ b/crates/leases/src/status.rs
@@ -8,7 +8,8 @@
 pub struct Status {
     /// `None` if this process is in no view, because it has not joined one or has abandoned it.
     pub view: Option<ViewStatus>,
-    /// The leader that sent the last view update.
+    /// The last known leader of the view, which may be this process; its lease may have expired. `None` if no
+    /// leader is known in this view yet.
     pub leader: Option<ProcessId>,
     /// Time left of the leader's lease. `None` if this process is not the leader.
     pub leader_lease_remaining: Option<Micros>,
@@ -23,7 +24,8 @@
 pub struct ViewStatus {
     /// The view.
     pub view: View,
-    /// Time since the last update from the view's leader.
+    /// Time since the last update from the view's leader, or by this process as the leader. Before the first
+    /// one: time since this process entered the view.
     pub age: Micros,
 }
 
--- a/crates/leases/src/view.rs
+++ b/crates/leases/src/view.rs
@@ -28,18 +28,20 @@
 /// A Paxos proposal number. No two campaigns of one epoch use the same ballot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Higher than the counter of every ballot that the proposer knew of.
+    /// Higher than the counters of the proposer's earlier ballots in this epoch, and of all ballots that
+    /// rejections have reported to it.
     pub counter: u32,
     /// Ordinal of the proposer, which breaks ties.
     pub proposer: u16,
 }
 
-/// Fencing number of a lease: each grant to a different holder has a higher term.
+/// Fencing number of a role lease, and version of a member list: each grant to a different holder, and each
+/// changed list, has a higher term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term {
-    /// Epoch of the view in which the lease was granted.
+    /// Epoch of the view in which the lease was granted or the list was made.
     pub epoch: Epoch,
-    /// Ballot under which the leader that granted it was elected.
+    /// Ballot under which the leader that granted the lease or made the list was elected.
     pub ballot: Ballot,
     /// Counter of the leader: increases with each new role grant and each new member list.
     pub step: u32,
--- a/crates/leases/src/view_change.rs
+++ b/crates/leases/src/view_change.rs
@@ -31,7 +31,7 @@
         self.emit(Event::ViewAbandoned { epoch, live_voters });
         self.abandoned_epoch = self.abandoned_epoch.max(epoch);
         self.enter_view(now, View::default());
-        // Like a process that has just started, it waits for messages of others before it votes.
+        // Like a process that has just started, this one waits for messages of others before it votes.
         self.started_at = now;
         self.next_join_request_at = now;
     }
@@ -43,8 +43,8 @@
         self.last_leader_contact = now;
         self.latest_epoch = self.latest_epoch.max(self.view.epoch);
         self.known_leader = None;
-        // A lease granted in the previous view stays valid until it expires, and must be renewed in this
-        // view.
+        // The leader campaigns in the new view at once: its lease of the previous view stays valid until it
+        // expires, and only the voters of the new view can renew it. Any other process waits first.
         let pause = if self.is_leader(now) { 0 } else { self.settings.heartbeat_interval };
         self.candidate.enter_view(now + pause);
     }
@@ -166,7 +166,8 @@
         let leader = KnownLeader { process: self.me, ballot: Ballot::default() };
         let update = ViewUpdate { view: self.view.clone(), leader: Some(leader), role_grants: Vec::new() };
         self.broadcast(update.into_message(self.me));
-        // Starts an election in the new view on the next call, after the update has been sent to the others.
+        // The next call of `handle_timeout` starts an election in the new view, after the update has been
+        // sent to the others.
         self.candidate.next_step_at = now + 1;
     }
 }
--- a/crates/leases/src/voter.rs
+++ b/crates/leases/src/voter.rs
@@ -44,7 +44,8 @@
     promised: Ballot,
     /// The last proposal accepted for the next view.
     accepted: Option<AcceptedView>,
-    /// The last grant of the leader's lease, which may have expired.
+    /// The last grant of the leader's lease, or a lease of the previous view that must be respected. Either
+    /// may have expired. `None` if there was none, or the holder has released it.
     grant: Option<LeaseGrant>,
 }
 
@@ -53,6 +54,7 @@
 struct LeaseGrant {
     /// `None`: an unknown process may hold the lease.
     holder: Option<ProcessId>,
+    /// The default ballot for a lease of the previous view.
     ballot: Ballot,
     /// By this voter's clock.
     expires_at: Micros,
--- a/crates/zone-routing/src/capacity.rs
+++ b/crates/zone-routing/src/capacity.rs
@@ -120,7 +120,8 @@
         })
     }
 
-    /// Whether a plan sends more than a probe's share of work over an unusable route.
+    /// Whether a plan's share over an unusable route exceeds the probe fraction by more than the minimum
+    /// share change.
     fn is_blocked(&self, plan: &Plan, origin: usize, target: usize) -> bool {
         let tolerated = self.settings.probe_fraction + self.settings.min_share_change;
         !self.usable[origin][target]
--- a/crates/zone-routing/src/lib.rs
+++ b/crates/zone-routing/src/lib.rs
@@ -19,8 +19,8 @@
 //!   states what one scheduler observed in one interval, about its own work and about the route to each zone.
 //!   The sum does not depend on the order of summation, and is no larger for 300 schedulers than for 10.
 //! - [`Planner`] takes the newest report of each zone, which [`ClusterLoad`] holds. It returns a new [`Plan`]
-//!   with its [`ReplanReason`] if the plan must be replaced. It is run by the leader of the planning role,
-//!   under its term.
+//!   with its [`ReplanReason`] if the plan must be replaced. It is run by the leader, which in this crate
+//!   is the process that holds the role lease for planning, under the term of that lease.
 //! - [`PlanFollower`] takes the plans that the leader publishes, and determines the [`RoutingMode`] of one
 //!   scheduler. A newer plan takes effect at the time that it states. If no plan arrives any more, routing
 //!   returns to local in two bounded steps.
--- a/crates/zone-routing/src/load_report.rs
+++ b/crates/zone-routing/src/load_report.rs
@@ -122,7 +122,7 @@
     }
 
     /// Ready slots of a zone. They are read from the zone's own report or, if that is missing or older than
-    /// `oldest`, averaged over the fresh reports of the other zones.
+    /// `oldest`, averaged over the fresh reports of the other zones; 0 if no fresh report covers the zone.
     pub(crate) fn ready_slots(&self, zone: usize, oldest: Millis) -> f64 {
         let own = self.fresh_report(zone, oldest).and_then(|report| report.ready_slots(zone));
         own.unwrap_or_else(|| self.ready_slots_by_others(zone, oldest))
--- a/crates/zone-routing/src/plan.rs
+++ b/crates/zone-routing/src/plan.rs
@@ -14,18 +14,19 @@
 /// Shares of work by origin zone, then by target zone; each is from 0 to 1.
 pub type ShareMatrix = Vec<Vec<f64>>;
 
-/// The term of the leader of the planning role. Terms are ordered by their fields, from first to last.
+/// The term of the role lease under which the leader plans. Terms are ordered by their fields, from first to
+/// last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlannerTerm {
     /// The era of the view's epoch.
     pub era: u32,
     /// The number of the view's epoch.
     pub epoch: u32,
-    /// The ballot under which the leader was elected.
+    /// The counter of the ballot under which the process that granted the role lease was elected.
     pub ballot: u32,
     /// The ordinal of the process that proposed that ballot.
     pub proposer: u32,
-    /// The number of the grant under that ballot.
+    /// The number of the grant. It increases with each grant of that process.
     pub step: u32,
 }
 
@@ -134,7 +135,8 @@
         f64::from(self.share_units[origin * zone_count + target]) / f64::from(SHARE_UNITS)
     }
 
-    /// The share of the origin zone's work that is rejected, since no zone has capacity for it.
+    /// The share of the origin zone's work that is rejected, since no zone has capacity for it; 1 if the
+    /// zone is not in the plan.
     pub fn rejected_share(&self, origin: usize) -> f64 {
         1.0 - (0..self.zone_count()).map(|target| self.share(origin, target)).sum::<f64>()
     }
--- a/crates/zone-routing/src/plan_follower.rs
+++ b/crates/zone-routing/src/plan_follower.rs
@@ -27,7 +27,8 @@
 ///
 /// A newer plan takes effect at the time that it states; until then the previous plan stays active. If the
 /// newest plan is not received again, routing returns to local in two bounded steps: after the plan's TTL,
-/// half of each remote share becomes local; after 1.5 times the TTL, all of it does.
+/// half of each remote share and of the rejected share becomes local; after 1.5 times the TTL, the scheduler
+/// changes to [`RoutingMode::LocalFallback`].
 #[derive(Clone, Debug)]
 pub struct PlanFollower {
     local_zone: usize,
@@ -35,6 +36,7 @@
     active: Option<Plan>,
     pending: Option<Plan>,
     newest: PlanVersion,
+    /// When a plan that was not stale last arrived; `None` before the first one.
     received_at: Option<Millis>,
 }
 
--- a/crates/zone-routing/src/planner.rs
+++ b/crates/zone-routing/src/planner.rs
@@ -49,7 +49,7 @@
     sequence: u32,
     plan: Option<Plan>,
     change_budget: ChangeBudget,
-    /// Start of the current uninterrupted period in which an improvement is possible.
+    /// Start of the current uninterrupted period in which an improvement is possible; `None` outside of one.
     improvable_since: Option<Millis>,
     suspect_routes: SuspectRoutes,
 }
@@ -87,7 +87,8 @@
         CapacityModel::new(now, &self.settings, load, zone_count, &suspect_routes).ideal_shares()
     }
 
-    /// Returns a new plan for this load, if the plan must be replaced.
+    /// Returns a new plan for this load. `None` if the current one needs no replacement, or the change budget
+    /// does not allow one yet.
     pub fn replan(&mut self, now: Millis, load: &ClusterLoad) -> Option<Replan> {
         let zone_count = self.zone_count(load);
         if zone_count == 0 {
--- a/crates/zone-routing/src/settings.rs
+++ b/crates/zone-routing/src/settings.rs
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Cost of sending work from one zone to another, by origin, then by target. Infinity forbids the route.
-    /// Work is placed over cheap routes first.
+    /// Work is placed over cheap routes first; only the order of the costs matters, so they have no unit.
     pub crossing_cost: Vec<Vec<f64>>,
     /// Upper bound of the utilization planned for a zone, as a fraction of its slots. Small zones get less:
     /// see [`Settings::target_utilization_for`].
